--- a/bench/engines/fleet.py
+++ b/bench/engines/fleet.py
@@ -10,12 +10,12 @@
 from bench.engines.load import draw
 from bench.engines.load import Prompts
 from rowanport.gateway.choice import PrefixChoice
-from rowanport.gateway.followers import followers
 from rowanport.gateway.job import Job
 from rowanport.gateway.job import Tokens
 from rowanport.gateway.loads import LoadNotes
 from rowanport.gateway.pool import UpstreamPool
 from rowanport.gateway.prefixes import PrefixMap
+from rowanport.gateway.store_watchers import store_watchers
 from rowanport.gateway.upstream import Upstream
 from rowanport.gateway.views import ASK_INTERVAL
 from rowanport.hashing import hash_of
@@ -175,7 +175,7 @@
             timeline.schedule(now + ASK_INTERVAL, self.ask)
         seconds = self.notes.begin_asking()
         if seconds:
-            address = self._fleet.draw_one(followers(self))
+            address = self._fleet.draw_one(store_watchers(self))
             answering = self._fleet.routers[int(address)].notes
             for note in answering.heard(seconds, str(self.name)):
                 self.notes.take(note)
--- a/rowanport/gateway/blocklist.py
+++ b/rowanport/gateway/blocklist.py
@@ -16,7 +16,7 @@
 from ..suspects import pack_blocked
 from ..suspects import unpack_blocked
 from .fingerprint import fingerprint_text
-from .followers import followers
+from .store_watchers import store_watchers
 
 LOG = structlog.get_logger(__name__)
 
@@ -98,7 +98,7 @@
         """Return whether to read the record; the others hear of it."""
         if self._loaded or self._clock.steady() < self._load_at:
             return False
-        return self._address in followers(self._members)
+        return self._address in store_watchers(self._members)
 
     async def _look(self):
         if self._must_load:
--- a/rowanport/gateway/daemon.py
+++ b/rowanport/gateway/daemon.py
@@ -30,7 +30,6 @@
 from .crashes import CrashGuard
 from .exchange import Exchange
 from .fingerprint import Fingerprints
-from .followers import listeners
 from .forwarder import Forwarder
 from .health import HealthFront
 from .job import Admission
@@ -43,6 +42,7 @@
 from .retries import RetryWindow
 from .settings import split_address
 from .stopping import Stopping
+from .store_watchers import update_recipients
 from .views import Views
 
 LOG = structlog.get_logger(__name__)
@@ -149,7 +149,9 @@
         # What silenced a connection to a peer may have silenced those to
         # upstreams: a request on one would wait for its time-out.
         self._peers.on_silence = self.client.doubt
-        told = functools.partial(listeners, self.members, settings.peers)
+        told = functools.partial(
+            update_recipients, self.members, settings.peers
+        )
         self.limits = self._views.limits = RateLimits(
             self._peers,
             self.members,
--- a/rowanport/gateway/loads.py
+++ b/rowanport/gateway/loads.py
@@ -16,8 +16,8 @@
 from ..rates import DecayingRate
 from ..schema.messages import LoadNote
 from .digest import LoadDigest
-from .followers import DIRECT_FLEET
-from .followers import followers
+from .store_watchers import FULL_MESH_LIMIT
+from .store_watchers import store_watchers
 
 # Prompt tokens below which a send is not told: they are read in 50 ms, one
 # twelfth of the shortest objective.
@@ -75,14 +75,14 @@
         """Count a note that is about to be sent; return who is told."""
         count = self._fanout(now)
         if self._is_large:
-            peers = followers(self._members)
+            peers = store_watchers(self._members)
             return random.sample(peers, min(count, len(peers)))
         return map(address_of, self._members.ready_others()[:count])
 
     @property
     def _is_large(self):
         """Return whether most routers hear of sends from those that follow."""
-        return len(self._members.others()) > DIRECT_FLEET
+        return len(self._members.others()) > FULL_MESH_LIMIT
 
     def _fanout(self, now):
         """Count a note that is about to be sent; return to how many peers."""
@@ -98,7 +98,9 @@
         now = self._clock.steady()
         seconds = now - self._asked_at
         self._asked_at = now
-        if not self._is_large or self._address in followers(self._members):
+        if not self._is_large or self._address in store_watchers(
+            self._members
+        ):
             return 0.0
         return seconds
 
--- a/rowanport/gateway/views.py
+++ b/rowanport/gateway/views.py
@@ -24,9 +24,9 @@
 from .changes import ChangeLog
 from .changes import NO_LIST
 from .changes import UpstreamDelta
-from .followers import followers
 from .lapses import Lapses
 from .standing import ViewStanding
+from .store_watchers import store_watchers
 from .upstream import UpstreamList
 
 LOG = structlog.get_logger(__name__)
@@ -108,7 +108,7 @@
             return True
         if self._clock.steady() < self._started + SEEDED_PAUSE:
             return False
-        duty = followers(self._members)
+        duty = store_watchers(self._members)
         return not duty or self._address in duty
 
     @property
@@ -246,7 +246,7 @@
         """
         now = self._clock.steady()
         version = self.upstreams.version
-        duty = followers(self._members)
+        duty = store_watchers(self._members)
         packed = {}
         for address, asker in self._askers.recent(now):
             if address in duty:
@@ -302,7 +302,7 @@
         They are shuffled; any will do while no follower is known.
         """
         ready = [address_of(peer) for peer in self._members.ready_others()]
-        duty = followers(self._members)
+        duty = store_watchers(self._members)
         follow = [peer for peer in ready if peer in duty]
         if follow and not self.standing.aging:
             return follow
--- a/test/test_load_digest.py
+++ b/test/test_load_digest.py
@@ -12,8 +12,8 @@
 import pytest
 
 from rowanport.gateway.digest import DIGEST_LIMIT
-from rowanport.gateway.followers import followers
 from rowanport.gateway.loads import NOTE_LEAST
+from rowanport.gateway.store_watchers import store_watchers
 from rowanport.schema.messages import LoadNote
 
 SIZE = 100
@@ -35,7 +35,7 @@
             others = [f"x/{other}/1" for other in names if other != name]
             router = FakeRouter(clock, self.peers, name, others)
             self.routers[name] = router
-        self.leading = followers(self.routers["r0"].notes._members)
+        self.leading = store_watchers(self.routers["r0"].notes._members)
         self.others = [name for name in names if name not in self.leading]
 
     def backlog(self, name, engine):
