--- a/rowanport/gateway/lapses.py
+++ b/rowanport/gateway/expired_entries.py
@@ -9,17 +9,17 @@
 
 # Seconds after an outage in which entries that lapsed are back; one that is
 # still missing then is gone, and is sent no more work.
-LAPSE_GRACE = 2.3
+EXPIRY_GRACE = 2.3
 # The shortest outage in seconds in which an entry lapses.
-SHORTEST_LAPSE = 2.4
+MIN_EXPIRY_OUTAGE = 2.4
 # Longest time in seconds of a call that was sent in an outage and is answered
 # at its end.
-LONGEST_CALL = 1.0
+MAX_CALL_SECONDS = 1.0
 # Seconds without an answer of the store to any router that make an outage.
-OUTAGE_LEAST = SHORTEST_LAPSE - LONGEST_CALL
+MIN_OUTAGE = MIN_EXPIRY_OUTAGE - MAX_CALL_SECONDS
 
 
-class StoreContact:
+class StoreAvailability:
     """For how long the store has answered routers without an outage.
 
     An outage of the store is one for all.  What went while it answered others
@@ -34,32 +34,32 @@
     def __init__(self):
         self.since = self.until = -math.inf
 
-    def note(self, sent_at):
+    def record_answer(self, sent_at):
         """Note that the store answered a call that was sent at a time."""
-        self.hear(sent_at, sent_at)
+        self.merge(sent_at, sent_at)
 
-    def hear(self, since, until):
+    def merge(self, since, until):
         """Take in a span in which the store answered some router."""
-        if since >= self.until + OUTAGE_LEAST:
+        if since >= self.until + MIN_OUTAGE:
             self.since, self.until = since, until
-        elif until > self.since - OUTAGE_LEAST:
+        elif until > self.since - MIN_OUTAGE:
             self.since = min(self.since, since)
             self.until = max(self.until, until)
 
-    def may_have_lapsed(self, now):
+    def may_have_expired(self, now):
         """Return whether an entry that goes now may have lapsed."""
-        if now >= self.until + OUTAGE_LEAST:
+        if now >= self.until + MIN_OUTAGE:
             return True
-        return now < self.since + LONGEST_CALL + LAPSE_GRACE
+        return now < self.since + MAX_CALL_SECONDS + EXPIRY_GRACE
 
 
-class Lapses:
+class RetainedUpstreams:
     """Upstreams in force that are kept without an entry."""
 
     def __init__(self):
         self._until = {}
 
-    def take(self, upstreams, known, now):
+    def apply(self, upstreams, known, now):
         """Return what is to be in force of a newer list.
 
         :param upstreams: Upstream by id, as the list has it
@@ -72,13 +72,13 @@
             if not upstream.lapsing or name in known
         }
         self._until = {
-            name: self._until.get(name, now + LAPSE_GRACE)
+            name: self._until.get(name, now + EXPIRY_GRACE)
             for name, upstream in upstreams.items()
             if upstream.lapsing
         }
         return upstreams
 
-    def end(self, now):
+    def pop_overdue(self, now):
         """Return the ids of those that were kept for long enough."""
         ended = [name for name, until in self._until.items() if now >= until]
         for name in ended:
--- a/rowanport/gateway/standing.py
+++ b/rowanport/gateway/standing.py
@@ -6,11 +6,11 @@
 
 from ..errors import ErrorKind
 from ..errors import RequestError
+from .expired_entries import StoreAvailability
 from .freshness import CONTACT_LIMIT
 from .freshness import Standing
 from .freshness import UNKNOWN_AGE
 from .freshness import ViewAge
-from .lapses import StoreContact
 
 LOG = structlog.get_logger(__name__)
 
@@ -32,21 +32,21 @@
         self._age = ViewAge()
         self._watches = {}
         self._reach = None
-        self._store_contact = StoreContact()
+        self._store_availability = StoreAvailability()
         self._peers_at = -math.inf
         self._logged = Standing.CONFIRMED
 
     @property
-    def store_contact(self):
-        """Return the StoreContact, as far as it is known here."""
+    def store_availability(self):
+        """Return the StoreAvailability, as far as it is known here."""
         if self._reach is not None:
-            self._store_contact.note(self._reach.heard_at)
-        return self._store_contact
+            self._store_availability.record_answer(self._reach.heard_at)
+        return self._store_availability
 
     @property
     def store_age(self):
         """Return the seconds since the store last answered any router."""
-        age = self._clock.steady() - self.store_contact.until
+        age = self._clock.steady() - self.store_availability.until
         return min(UNKNOWN_AGE, age)
 
     @property
@@ -55,21 +55,21 @@
 
         In tenths of a second, as peers are told.
         """
-        contact = self.store_contact
+        contact = self.store_availability
         if contact.since == -math.inf:
             return 0
         span = 10 * (contact.until - contact.since)
         return int(min(LONGEST_STEADY, span))
 
     @property
-    def may_have_lapsed(self):
+    def may_have_expired(self):
         """Return whether an entry that goes now may have lapsed.
 
         Only other routers can tell an outage of the store from one's own.
         """
         if not self._members.knows_others:
             return True
-        return self.store_contact.may_have_lapsed(self._clock.steady())
+        return self.store_availability.may_have_expired(self._clock.steady())
 
     @property
     def hears_peers(self):
@@ -143,7 +143,7 @@
         self._age.note_contact(asked_at)
         self._peers_at = max(self._peers_at, asked_at)
         until = asked_at - store_age
-        self._store_contact.hear(until - store_steady, until)
+        self._store_availability.merge(until - store_steady, until)
 
     def confirm(self, until, source):
         """Note who says that nothing is newer up to a time."""
--- a/rowanport/gateway/views.py
+++ b/rowanport/gateway/views.py
@@ -24,7 +24,7 @@
 from .changes import ChangeLog
 from .changes import NO_LIST
 from .changes import UpstreamDelta
-from .lapses import Lapses
+from .expired_entries import RetainedUpstreams
 from .standing import ViewStanding
 from .store_watchers import store_watchers
 from .upstream import UpstreamList
@@ -83,7 +83,7 @@
         self._askers = Askers()
         self._changes = ChangeLog()
         self._list_wanted = False
-        self._lapses = Lapses()
+        self._retained = RetainedUpstreams()
         self._started = clock.steady()
         self._config_data = b""
         self._config_packed = b""
@@ -157,7 +157,7 @@
             self._take_list(upstreams, source)
 
     def _take_list(self, upstreams, source):
-        upstreams.upstreams = self._lapses.take(
+        upstreams.upstreams = self._retained.apply(
             upstreams.upstreams,
             self.upstreams.upstreams,
             self._clock.steady(),
@@ -182,7 +182,7 @@
 
     def _drop_lapsed(self):
         """Drop upstreams that were kept without an entry for too long."""
-        ended = self._lapses.end(self._clock.steady())
+        ended = self._retained.pop_overdue(self._clock.steady())
         if not ended:
             return
         known = self.upstreams
--- a/rowanport/platform/sources.py
+++ b/rowanport/platform/sources.py
@@ -11,8 +11,8 @@
 from ..errors import StoreBusy
 from ..errors import StoreError
 from ..errors import StoreSilent
+from ..gateway.expired_entries import EXPIRY_GRACE
 from ..gateway.freshness import WatchAge
-from ..gateway.lapses import LAPSE_GRACE
 from ..gateway.upstream import UpstreamList
 from ..supervision import beat
 from .entries import decode_entry
@@ -321,13 +321,13 @@
         # an outage of this router alone, would keep a removed upstream in use
         # beyond what its bound allows.
         reach = self._store.reach
-        if not views.standing.may_have_lapsed:
+        if not views.standing.may_have_expired:
             return self._mass_grace_until
         if reach.in_doubt:
             return math.inf
         if reach.back_at is None:
             return self._mass_grace_until
-        return max(self._mass_grace_until, reach.back_at + LAPSE_GRACE)
+        return max(self._mass_grace_until, reach.back_at + EXPIRY_GRACE)
 
     def _miss(self, views, gone):
         """Keep entries for a while that may have lapsed in an outage.
@@ -339,7 +339,7 @@
         # A router that began to follow the store just now did not see it
         # away; but that most upstreams leave at once is no plan of anybody's.
         if len(gone) > LAPSE_SHARE * len(known):
-            until = self._clock.steady() + LAPSE_GRACE
+            until = self._clock.steady() + EXPIRY_GRACE
             self._mass_grace_until = until
         if self._clock.steady() < self._grace_until(views):
             for name, upstream in gone.items():
--- a/test/test_sources.py
+++ b/test/test_sources.py
@@ -26,7 +26,7 @@
 from test.virtual import LoopClock
 from test.virtual_net import HOST
 
-from rowanport.gateway.lapses import LAPSE_GRACE
+from rowanport.gateway.expired_entries import EXPIRY_GRACE
 from rowanport.gateway.standing import ViewStanding
 from rowanport.gateway.upstream import Upstream
 from rowanport.gateway.upstream import UpstreamList
@@ -156,7 +156,7 @@
         await asyncio.sleep(0.02)
         dropped |= set(NAMES) - follower.known
     await follower.bring_back(*names)
-    await asyncio.sleep(LAPSE_GRACE)
+    await asyncio.sleep(EXPIRY_GRACE)
     assert follower.known == set(NAMES)
     return dropped
 
@@ -203,7 +203,7 @@
     await asyncio.sleep(1.5)
     assert follower.known == set(NAMES)
     await follower.bring_back("two")
-    await asyncio.sleep(LAPSE_GRACE)
+    await asyncio.sleep(EXPIRY_GRACE)
     assert follower.known == set(NAMES)
 
 
@@ -216,7 +216,7 @@
     await asyncio.sleep(SHORTEST_LAPSE)
     await follower.drop("two")
     follower.standin.fault = ""
-    await asyncio.sleep(LAPSE_GRACE + 1.0)
+    await asyncio.sleep(EXPIRY_GRACE + 1.0)
     assert follower.known == set(NAMES) - {"two"}
 
 
@@ -308,5 +308,5 @@
     assert listed["two"].lapsing
     listed["two"] = Upstream(*listed["two"].fields()[:-1])
     follower.views.upstreams = UpstreamList(10**6, listed.values())
-    await asyncio.sleep(LAPSE_GRACE + 0.5)
+    await asyncio.sleep(EXPIRY_GRACE + 0.5)
     assert follower.known == set(NAMES)
