--- a/rowanport/gateway/daemon.py
+++ b/rowanport/gateway/daemon.py
@@ -229,7 +229,7 @@
 
         Without one of its loops a router serves by what gets ever older.
         """
-        if self._loops.failing or self._views.standing.old:
+        if self._loops.failing or self._views.freshness.stale:
             return False
         return self.members.own.state == READY
 
--- a/rowanport/gateway/forwarder.py
+++ b/rowanport/gateway/forwarder.py
@@ -56,7 +56,7 @@
             return gateway.admission.admit(request, gateway.table, arrived)
         except RequestError:
             # A configuration that is not known here may allow it.
-            gateway.views.standing.check()
+            gateway.views.freshness.check()
             raise
 
     def _error_at_end(self, job):
@@ -100,7 +100,7 @@
         now = self._clock.steady()
         # What is blocked stays so, whatever else is known meanwhile.
         self._crashes.check(job)
-        gateway.views.standing.check()
+        gateway.views.freshness.check()
         gateway.retries(job.service).note_request(now)
         if gateway.congestion.refuses(job.request):
             raise RequestError(
--- a/rowanport/gateway/freshness.py
+++ b/rowanport/gateway/freshness.py
@@ -21,13 +21,13 @@
 UNKNOWN_AGE = 10000.0
 
 
-class Standing(enum.Enum):
+class Freshness(enum.Enum):
     """How far a view may be trusted."""
 
     CONFIRMED = "confirmed"
     # Peers answer at once, and know nothing newer: the store is away.
-    NEWEST = "newest known"
-    OLD = "old"
+    LATEST_KNOWN = "newest known"
+    STALE = "old"
 
 
 class ViewAge:
@@ -47,7 +47,7 @@
         self.source = ""
         self.contact_at = -math.inf
 
-    def note_contact(self, sent_at):
+    def record_contact(self, sent_at):
         """Note that somebody answered what was sent at a time."""
         self.contact_at = max(self.contact_at, sent_at)
 
@@ -65,13 +65,13 @@
         """Return whether it is time to ask several peers at once."""
         return self.age(now) > AGING
 
-    def standing(self, now):
-        """Return the Standing of the view."""
+    def freshness(self, now):
+        """Return the Freshness of the view."""
         if self.age(now) <= AGE_LIMIT:
-            return Standing.CONFIRMED
+            return Freshness.CONFIRMED
         if now - self.contact_at <= CONTACT_LIMIT:
-            return Standing.NEWEST
-        return Standing.OLD
+            return Freshness.LATEST_KNOWN
+        return Freshness.STALE
 
 
 class WatchAge:
--- a/rowanport/gateway/standing.py
+++ b/rowanport/gateway/freshness_tracker.py
@@ -8,7 +8,7 @@
 from ..errors import RequestError
 from .expired_entries import StoreAvailability
 from .freshness import CONTACT_LIMIT
-from .freshness import Standing
+from .freshness import Freshness
 from .freshness import UNKNOWN_AGE
 from .freshness import ViewAge
 
@@ -19,7 +19,7 @@
 LONGEST_STEADY = 120
 
 
-class ViewStanding:
+class FreshnessTracker:
     """Gathers what peers and the store tell of the age of the views.
 
     :param members: the Membership
@@ -34,7 +34,7 @@
         self._reach = None
         self._store_availability = StoreAvailability()
         self._peers_at = -math.inf
-        self._logged = Standing.CONFIRMED
+        self._logged = Freshness.CONFIRMED
 
     @property
     def store_availability(self):
@@ -72,7 +72,7 @@
         return self.store_availability.may_have_expired(self._clock.steady())
 
     @property
-    def hears_peers(self):
+    def peers_responsive(self):
         """Return whether peers answer at once, if others are known."""
         if not self._members.knows_others:
             return True
@@ -98,28 +98,28 @@
         return self._age.is_aging(self._clock.steady())
 
     @property
-    def value(self):
-        """Return the Standing of the views."""
+    def current(self):
+        """Return the Freshness of the views."""
         if not self._members.knows_others:
             # There is nobody who could know anything newer.
-            return Standing.NEWEST
+            return Freshness.LATEST_KNOWN
         self._confirm_own()
-        return self._age.standing(self._clock.steady())
+        return self._age.freshness(self._clock.steady())
 
     @property
-    def old(self):
+    def stale(self):
         """Return whether the views are too old to send requests by."""
-        return self.value is Standing.OLD
+        return self.current is Freshness.STALE
 
     def check(self):
         """Raise RequestError if the views are too old to send requests by."""
-        if self.old:
+        if self.stale:
             raise RequestError(
                 ErrorKind.NOT_READY,
                 f"what is known of the fleet is {self.age:.1f} s old",
             )
 
-    def note_watch(self, name, age, reach):
+    def register_watch(self, name, age, reach):
         """Take a watch of the store into account.
 
         :param age: its WatchAge
@@ -128,11 +128,11 @@
         self._watches[name] = age
         self._reach = reach
 
-    def note_contact(self, sent_at):
+    def record_contact(self, sent_at):
         """Note that the store answered what was sent at a time."""
-        self._age.note_contact(sent_at)
+        self._age.record_contact(sent_at)
 
-    def note_answer(self, asked_at, store_age, store_steady):
+    def record_peer_answer(self, asked_at, store_age, store_steady):
         """Note that a peer answered a question.
 
         :param asked_at: when it was asked
@@ -140,7 +140,7 @@
             as the peer knew
         :param store_steady: seconds for which it had done so all the time
         """
-        self._age.note_contact(asked_at)
+        self._age.record_contact(asked_at)
         self._peers_at = max(self._peers_at, asked_at)
         until = asked_at - store_age
         self._store_availability.merge(until - store_steady, until)
@@ -155,16 +155,16 @@
         known = [age.known_until(contact) for age in self._watches.values()]
         self._age.confirm(min(known, default=-math.inf), "store")
 
-    def note_change(self):
+    def log_change(self):
         """Log whether the views may be trusted, when that changes."""
-        standing = self.value
-        if standing is self._logged:
+        freshness = self.current
+        if freshness is self._logged:
             return
-        self._logged = standing
+        self._logged = freshness
         now = self._clock.steady()
         LOG.info(
             "views_standing",
-            standing=standing.value,
+            standing=freshness.value,
             age=round(self._age.age(now), 3),
             contact=round(now - self._age.contact_at, 3),
             confirmed_by=self._age.source,
--- a/rowanport/gateway/health.py
+++ b/rowanport/gateway/health.py
@@ -42,6 +42,6 @@
         metrics.logs_dropped.set({}, logs.dropped())
         version = gateway.table.version if gateway.table else 0
         metrics.config_version.set({}, version)
-        metrics.view_age.set({}, gateway.views.standing.age)
+        metrics.view_age.set({}, gateway.views.freshness.age)
         metrics.live_routers.set({}, len(gateway.members.live()))
         return metrics.render()
--- a/rowanport/gateway/repeats.py
+++ b/rowanport/gateway/repeats.py
@@ -59,7 +59,7 @@
             raise RepeatRefused("an upstream crashed under it")
         if self._is_rejected_too_often(job):
             raise RepeatRefused("rejected too often")
-        if gateway.views.standing.old:
+        if gateway.views.freshness.stale:
             raise RepeatRefused("the list of upstreams is old")
         if not gateway.stopping.may_send(job):
             raise RepeatRefused("too late for a send")
--- a/rowanport/gateway/sending.py
+++ b/rowanport/gateway/sending.py
@@ -154,7 +154,7 @@
     def _taking(self, candidates, now):
         """Return the candidates that surely take requests now."""
         try:
-            self._gateway.views.standing.check()
+            self._gateway.views.freshness.check()
             return self._gateway.limits.open(candidates, now)
         except RequestError as error:
             if self._job.runs:
@@ -212,12 +212,12 @@
         gateway, record = self._gateway, state.record
         if gateway.pool.get(record.id) is not state or record.leaving:
             raise UpstreamLeft("it left meanwhile")
-        standing = gateway.views.standing
-        if record.lapsing and not standing.hears_peers:
+        freshness = gateway.views.freshness
+        if record.lapsing and not freshness.peers_responsive:
             raise UpstreamLeft("its entry is gone, and nobody says why")
-        if standing.old:
+        if freshness.stale:
             raise UpstreamLeft("whether it left is not known any more")
-        self._job.view_age = standing.age
+        self._job.view_age = freshness.age
 
     def _note_load(self, state):
         """Count a job's prompt; return what the engine has to read with it."""
--- a/rowanport/gateway/views.py
+++ b/rowanport/gateway/views.py
@@ -25,7 +25,7 @@
 from .changes import NO_LIST
 from .changes import UpstreamDelta
 from .expired_entries import RetainedUpstreams
-from .standing import ViewStanding
+from .freshness_tracker import FreshnessTracker
 from .store_watchers import store_watchers
 from .upstream import UpstreamList
 
@@ -58,7 +58,7 @@
     :param clock: a Clock
     :param clocks: the FleetClocks, which learn from each exchange
     :param congestion: the Congestion, which does, too
-    :ivar standing: the ViewStanding, which tells how far they may be trusted
+    :ivar freshness: the FreshnessTracker of both
     :ivar on_answer: function that is called after each answer of a peer, or
         None
     :ivar tell: function of a peer's address and a message that sends the
@@ -87,7 +87,7 @@
         self._started = clock.steady()
         self._config_data = b""
         self._config_packed = b""
-        self.standing = ViewStanding(members, clock)
+        self.freshness = FreshnessTracker(members, clock)
         self.table = None
         self.upstreams = UpstreamList()
         self.on_table = None
@@ -201,10 +201,10 @@
         """Answer a ViewAsk."""
         self._clocks.hear(message.asker, message.wall)
         suspects = SuspectNews(0, [])
-        age = round(1000 * self.standing.age)
-        away = round(1000 * self.standing.store_age)
+        age = round(1000 * self.freshness.age)
+        away = round(1000 * self.freshness.store_age)
         wall = self._clock.wall()
-        steady = self.standing.store_steady
+        steady = self.freshness.store_steady
         give = ViewGive(
             0, b"", 0, b"", wall, [], suspects, [], age, away, 0, steady
         )
@@ -275,7 +275,7 @@
         try:
             while True:
                 beat()
-                self.standing.note_change()
+                self.freshness.log_change()
                 self._drop_lapsed()
                 for address in self._next_sources():
                     # Not awaited: one that is cut off would hold up the next.
@@ -293,7 +293,7 @@
         """
         sources = self._sources()
         free = [peer for peer in sources if not self._asked[peer]]
-        count = ASKS_WHEN_AGING if self.standing.aging else 1
+        count = ASKS_WHEN_AGING if self.freshness.aging else 1
         return (free or sources)[:count]
 
     def _sources(self):
@@ -304,7 +304,7 @@
         ready = [address_of(peer) for peer in self._members.ready_others()]
         duty = store_watchers(self._members)
         follow = [peer for peer in ready if peer in duty]
-        if follow and not self.standing.aging:
+        if follow and not self.freshness.aging:
             return follow
         sources = follow + [peer for peer in ready if peer not in duty]
         return sources or self._silent_sources(duty)
@@ -349,7 +349,7 @@
             self._asked[address] -= 1
         if not isinstance(give, ViewGive):
             return
-        self.standing.note_answer(
+        self.freshness.record_peer_answer(
             asked_at, give.store_age / 1000, give.steady / 10
         )
         # Without the time in which a silent connection was found out.
@@ -368,7 +368,7 @@
         if self.on_answer is not None:
             self.on_answer()
         if self._has(give):
-            self.standing.confirm(asked_at - give.age / 1000, address)
+            self.freshness.confirm(asked_at - give.age / 1000, address)
 
     def _has(self, give):
         """Return whether all that a peer knew is known here."""
--- a/rowanport/platform/sources.py
+++ b/rowanport/platform/sources.py
@@ -85,7 +85,9 @@
 
     async def run(self, views):
         """Feed the Views until cancelled."""
-        views.standing.note_watch(self.prefix, self._age, self._store.reach)
+        views.freshness.register_watch(
+            self.prefix, self._age, self._store.reach
+        )
         while True:
             beat()
             try:
@@ -135,8 +137,8 @@
         until = self._clock.steady() + YOUNG_PAUSE
         await asyncio.sleep(BATCH_PAUSE)
         while views.young and self._clock.steady() < until:
-            standing = views.standing
-            if standing.aging and standing.age > YOUNG_AGE:
+            freshness = views.freshness
+            if freshness.aging and freshness.age > YOUNG_AGE:
                 break
             await asyncio.sleep(BATCH_PAUSE)
 
@@ -160,13 +162,13 @@
             )
             if watch.done():
                 listing = watch.result()
-                self._age.end(views.standing.contact_at)
+                self._age.end(views.freshness.contact_at)
                 return listing
             if down.done():
                 raise StoreBusy("the store is away")
             raise StoreSilent("kept connections turned out silent")
         finally:
-            self._age.lose(views.standing.contact_at)
+            self._age.lose(views.freshness.contact_at)
             watch.cancel()
             down.cancel()
             silence.cancel()
@@ -321,7 +323,7 @@
         # an outage of this router alone, would keep a removed upstream in use
         # beyond what its bound allows.
         reach = self._store.reach
-        if not views.standing.may_have_expired:
+        if not views.freshness.may_have_expired:
             return self._mass_grace_until
         if reach.in_doubt:
             return math.inf
@@ -363,9 +365,9 @@
         reach = self._store.reach
         while True:
             await asyncio.sleep(CONFIRM_PAUSE)
-            if views.on_duty and views.standing.aging:
+            if views.on_duty and views.freshness.aging:
                 await reach.confirm()
-                views.standing.note_contact(reach.heard_at)
+                views.freshness.record_contact(reach.heard_at)
 
     async def _run_settling(self, views):
         """Drop what stays missing, and take in what nobody objected to."""
--- a/soak/broken.py
+++ b/soak/broken.py
@@ -128,9 +128,9 @@
     theme = "links"
 
     def apply(self):
-        from rowanport.gateway.standing import ViewStanding
+        from rowanport.gateway.freshness_tracker import FreshnessTracker
 
-        ViewStanding.old = False
+        FreshnessTracker.stale = False
 
 
 class StopsAtOnce(Variant):
--- a/test/test_freshness.py
+++ b/test/test_freshness.py
@@ -7,7 +7,7 @@
 from rowanport.gateway.freshness import AGE_LIMIT
 from rowanport.gateway.freshness import AGING
 from rowanport.gateway.freshness import CONTACT_LIMIT
-from rowanport.gateway.freshness import Standing
+from rowanport.gateway.freshness import Freshness
 from rowanport.gateway.freshness import ViewAge
 from rowanport.gateway.freshness import WatchAge
 
@@ -26,7 +26,7 @@
     number = 0
     while (sent_at := pause * number) + round_trip <= seconds:
         number += 1
-        age.note_contact(sent_at)
+        age.record_contact(sent_at)
         arrives = sent_at + round_trip
         age.confirm(sent_at - peer_age(arrives), "peer")
     return age
@@ -47,23 +47,23 @@
 
 
 def test_a_view_that_nobody_ever_confirmed_is_old():
-    assert ViewAge().standing(1000.0) is Standing.OLD
+    assert ViewAge().freshness(1000.0) is Freshness.STALE
 
 
 def test_a_router_with_quick_answers_is_confirmed_all_the_time():
     age = asked(0.01, 20.0)
-    assert age.standing(20.0) is Standing.CONFIRMED
+    assert age.freshness(20.0) is Freshness.CONFIRMED
     assert not age.is_aging(20.0)
 
 
 def test_no_answer_and_nothing_newer_are_told_apart():
     age = asked(0.01, 20.0)
     assert age.is_aging(20.0 + AGING)
-    assert age.standing(20.0 + AGE_LIMIT) is Standing.OLD
+    assert age.freshness(20.0 + AGE_LIMIT) is Freshness.STALE
     lost_at = 10.0
     age = asked(0.01, 20.0, lambda now: max(0.2, now - lost_at))
     assert age.age(20.0) > DRAIN_SECONDS
-    assert age.standing(20.0) is Standing.NEWEST
+    assert age.freshness(20.0) is Freshness.LATEST_KNOWN
 
 
 def test_late_answers_are_not_taken_for_an_outage_of_the_store():
@@ -71,9 +71,9 @@
     for tenths in range(10, 40):
         round_trip = tenths / 10
         age = asked(round_trip, 60.0)
-        assert age.standing(60.0) is not Standing.NEWEST, round_trip
+        assert age.freshness(60.0) is not Freshness.LATEST_KNOWN, round_trip
         if round_trip > AGE_LIMIT:
-            assert age.standing(60.0) is Standing.OLD, round_trip
+            assert age.freshness(60.0) is Freshness.STALE, round_trip
 
 
 def test_a_request_gets_there_in_time_however_slow_the_link_is():
@@ -83,7 +83,7 @@
         age = asked(round_trip, 60.0)
         for moment in range(25):
             now = 60.0 + moment / 10
-            if age.standing(now) is Standing.CONFIRMED:
+            if age.freshness(now) is Freshness.CONFIRMED:
                 arrives = now + round_trip - age.known_until
                 assert arrives <= DRAIN_SECONDS, (round_trip, now)
 
@@ -103,9 +103,9 @@
             now = moment / 20
             for arrives, sent_at in answers:
                 if arrives <= now:
-                    age.note_contact(sent_at)
+                    age.record_contact(sent_at)
                     age.confirm(sent_at - 0.2, "peer")
-            if age.standing(now) is Standing.CONFIRMED:
+            if age.freshness(now) is Freshness.CONFIRMED:
                 reaches_upstream = now + now
                 assert reaches_upstream - age.known_until <= DRAIN_SECONDS
 
@@ -113,8 +113,8 @@
 def test_prompt_answers_count_for_a_while_only():
     age = asked(0.01, 20.0, lambda now: now)
     last = age.contact_at
-    assert age.standing(last + CONTACT_LIMIT) is Standing.NEWEST
-    assert age.standing(last + CONTACT_LIMIT + 0.01) is Standing.OLD
+    assert age.freshness(last + CONTACT_LIMIT) is Freshness.LATEST_KNOWN
+    assert age.freshness(last + CONTACT_LIMIT + 0.01) is Freshness.STALE
 
 
 def test_a_watch_tells_nothing_before_anything_else_was_answered():
--- a/test/test_old_views.py
+++ b/test/test_old_views.py
@@ -241,7 +241,7 @@
     assert await service.ask(others[0], "/nowhere/") == 404
     fleet.net.fill(others[0], inward=30.0)
     await asyncio.sleep(3.0)
-    assert gateway.views.standing.old
+    assert gateway.views.freshness.stale
     fleet.net.fill(others[0])
     # The first answers take a while; what was asked is as old as before.
     assert await service.ask(others[0], "/nowhere/") == 503
--- a/test/test_platform.py
+++ b/test/test_platform.py
@@ -23,7 +23,7 @@
 from rowanport.errors import StoreConflict
 from rowanport.errors import StoreUnavailable
 from rowanport.errors import UpstreamError
-from rowanport.gateway.standing import ViewStanding
+from rowanport.gateway.freshness_tracker import FreshnessTracker
 from rowanport.platform import settings as platform_settings
 from rowanport.platform.config import decode_config
 from rowanport.platform.sources import ConfigSource
@@ -611,7 +611,7 @@
         self.on_duty = False
         self.young = False
         self.configs = []
-        self.standing = ViewStanding(Alone(), SystemClock())
+        self.freshness = FreshnessTracker(Alone(), SystemClock())
 
     def take_config(self, data, source):
         self.configs.append(json.loads(data)["version"])
--- a/test/test_returned_entries.py
+++ b/test/test_returned_entries.py
@@ -115,11 +115,11 @@
 
 def usable(gateway):
     """Return the ids of the upstreams that a router may send work to."""
-    standing = gateway.views.standing
-    if standing.old:
+    freshness = gateway.views.freshness
+    if freshness.stale:
         return set()
     return {
         name
         for name, upstream in gateway.upstreams.upstreams.items()
-        if not upstream.lapsing or standing.hears_peers
+        if not upstream.lapsing or freshness.peers_responsive
     }
--- a/test/test_sources.py
+++ b/test/test_sources.py
@@ -27,7 +27,7 @@
 from test.virtual_net import HOST
 
 from rowanport.gateway.expired_entries import EXPIRY_GRACE
-from rowanport.gateway.standing import ViewStanding
+from rowanport.gateway.freshness_tracker import FreshnessTracker
 from rowanport.gateway.upstream import Upstream
 from rowanport.gateway.upstream import UpstreamList
 from rowanport.platform.__main__ import STORE_CONNECT_TIMEOUT
@@ -61,7 +61,7 @@
         self.on_duty = True
         self.young = False
         self.upstreams = UpstreamList()
-        self.standing = ViewStanding(Alone(), clock)
+        self.freshness = FreshnessTracker(Alone(), clock)
 
     def take_upstreams(self, upstreams, source):
         self.upstreams = upstreams
