--- a/rowanport/gateway/freshness.py
+++ b/rowanport/gateway/freshness.py
@@ -92,7 +92,7 @@
         self._until = -math.inf
         self._begun_at = None
 
-    def note_read(self, sent_at):
+    def record_read(self, sent_at):
         """Note that all was read, by a call sent at a time."""
         self._until = max(self._until, sent_at)
 
@@ -100,7 +100,7 @@
         """Note that a watch was sent."""
         self._begun_at = now
 
-    def end(self, contact_at):
+    def complete(self, contact_at):
         """Note that the watch was answered.
 
         :param contact_at: as in :meth:`known_until`
@@ -108,7 +108,7 @@
         self._until = max(self.known_until(contact_at), self._begun_at)
         self._begun_at = None
 
-    def lose(self, contact_at):
+    def abort(self, contact_at):
         """Note that the watch ended without an answer."""
         self._until = self.known_until(contact_at)
         self._begun_at = None
--- a/rowanport/platform/sources.py
+++ b/rowanport/platform/sources.py
@@ -123,7 +123,7 @@
         if self._revision is None:
             sent_at = self._clock.steady()
             self._revision = await self.load(views)
-            self._age.note_read(sent_at)
+            self._age.record_read(sent_at)
             self._note_success()
         listing = await self._watch(views)
         self._note_success()
@@ -162,13 +162,13 @@
             )
             if watch.done():
                 listing = watch.result()
-                self._age.end(views.freshness.contact_at)
+                self._age.complete(views.freshness.contact_at)
                 return listing
             if down.done():
                 raise StoreBusy("the store is away")
             raise StoreSilent("kept connections turned out silent")
         finally:
-            self._age.lose(views.freshness.contact_at)
+            self._age.abort(views.freshness.contact_at)
             watch.cancel()
             down.cancel()
             silence.cancel()
--- a/test/test_freshness.py
+++ b/test/test_freshness.py
@@ -119,7 +119,7 @@
 
 def test_a_watch_tells_nothing_before_anything_else_was_answered():
     watch = WatchAge()
-    watch.note_read(10.0)
+    watch.record_read(10.0)
     watch.begin(11.0)
     assert watch.known_until(10.9) == 10.0
     assert watch.known_until(11.5) == 11.5
@@ -127,25 +127,25 @@
 
 def test_a_watch_that_was_answered_tells_nothing_until_the_next_one():
     watch = WatchAge()
-    watch.note_read(10.0)
+    watch.record_read(10.0)
     watch.begin(11.0)
-    watch.end(contact_at=12.0)
+    watch.complete(contact_at=12.0)
     assert watch.known_until(15.0) == 12.0
     watch.begin(16.0)
-    watch.lose(contact_at=13.0)
+    watch.abort(contact_at=13.0)
     assert watch.known_until(99.0) == 12.0
 
 
 def test_an_answer_to_a_watch_tells_at_least_what_was_when_it_was_sent():
     watch = WatchAge()
     watch.begin(11.0)
-    watch.end(contact_at=3.0)
+    watch.complete(contact_at=3.0)
     assert watch.known_until(3.0) == 11.0
 
 
 def test_a_router_that_follows_no_more_knows_nothing_of_its_own():
     watch = WatchAge()
-    watch.note_read(10.0)
+    watch.record_read(10.0)
     watch.begin(11.0)
     watch.reset()
     assert watch.known_until(20.0) == -math.inf
