--- a/rowanport/gateway/views.py
+++ b/rowanport/gateway/views.py
@@ -99,12 +99,12 @@
         self.limits = None
 
     @property
-    def on_duty(self):
+    def watches_store(self):
         """Return whether this router follows the store, for others too.
 
         Where all routers stop none is left to do so: each does for itself.
         """
-        if self.young and self._leads:
+        if self.starting_up and self._leads:
             return True
         if self._clock.steady() < self._started + SEEDED_PAUSE:
             return False
@@ -125,7 +125,7 @@
         return not seeds or self._address in seeds
 
     @property
-    def young(self):
+    def starting_up(self):
         """Return whether this router may not know the fleet yet."""
         return self._clock.steady() < self._started + LEARN_SECONDS
 
--- a/rowanport/platform/directory.py
+++ b/rowanport/platform/directory.py
@@ -58,7 +58,7 @@
             await asyncio.sleep(SEEDED_PAUSE)
         while True:
             beat()
-            if self._seeds and not views.on_duty:
+            if self._seeds and not views.watches_store:
                 await asyncio.sleep(RENEW_SECONDS)
                 continue
             try:
--- a/rowanport/platform/sources.py
+++ b/rowanport/platform/sources.py
@@ -108,7 +108,7 @@
 
     async def _wait_for_duty(self, views):
         """Wait until this router is one of those that follow the store."""
-        while not views.on_duty:
+        while not views.watches_store:
             # What happens meanwhile comes from peers, also what is newer than
             # an old answer, which costs a tenth of a new one.
             self._revision = None
@@ -117,7 +117,7 @@
             if not self.is_known(views):
                 await self.load_old(views)
                 self._note_success()
-            await asyncio.sleep(YOUNG_POLL if views.young else DUTY_POLL)
+            await asyncio.sleep(YOUNG_POLL if views.starting_up else DUTY_POLL)
 
     async def _follow(self, views):
         if self._revision is None:
@@ -136,7 +136,7 @@
         """Wait while changes gather that one call tells all of."""
         until = self._clock.steady() + YOUNG_PAUSE
         await asyncio.sleep(BATCH_PAUSE)
-        while views.young and self._clock.steady() < until:
+        while views.starting_up and self._clock.steady() < until:
             freshness = views.freshness
             if freshness.aging and freshness.age > YOUNG_AGE:
                 break
@@ -355,7 +355,7 @@
         as of what was removed.
         """
         while True:
-            if views.on_duty:
+            if views.watches_store:
                 await self._store.reach.probe_when_idle()
             else:
                 await asyncio.sleep(DUTY_POLL)
@@ -365,7 +365,7 @@
         reach = self._store.reach
         while True:
             await asyncio.sleep(CONFIRM_PAUSE)
-            if views.on_duty and views.freshness.aging:
+            if views.watches_store and views.freshness.aging:
                 await reach.confirm()
                 views.freshness.record_contact(reach.heard_at)
 
--- a/test/test_old_views.py
+++ b/test/test_old_views.py
@@ -141,7 +141,7 @@
 
 def followers_and_others(fleet):
     """Return the hosts that follow the store, and the others."""
-    duty = [h for h in fleet.hosts if fleet.gateways[h]._views.on_duty]
+    duty = [h for h in fleet.hosts if fleet.gateways[h]._views.watches_store]
     return duty, [host for host in fleet.hosts if host not in duty]
 
 
--- a/test/test_platform.py
+++ b/test/test_platform.py
@@ -608,8 +608,8 @@
 
     def __init__(self, table=None):
         self.table = table
-        self.on_duty = False
-        self.young = False
+        self.watches_store = False
+        self.starting_up = False
         self.configs = []
         self.freshness = FreshnessTracker(Alone(), SystemClock())
 
@@ -631,10 +631,10 @@
         task = asyncio.ensure_future(source.run(views))
         await asyncio.sleep(0.1)
         assert (standin.calls, views.configs) == ([], [])
-        views.on_duty = True
+        views.watches_store = True
         await asyncio.sleep(2 * DUTY_POLL)
         assert views.configs == [1]
-        views.on_duty = False
+        views.watches_store = False
         await standin.put("op/config", config(version=2))
         await asyncio.sleep(2 * DUTY_POLL)
         before = len(standin.calls)
@@ -657,7 +657,7 @@
         await standin.start(port)
         client = HttpClient()
         views = FollowedViews()
-        views.on_duty = views.young = True
+        views.watches_store = views.starting_up = True
         clock = SystemClock()
         store = PlatformStore(client, f"127.0.0.1:{port}", clock)
         source = ConfigSource(store, clock)
--- a/test/test_returned_entries.py
+++ b/test/test_returned_entries.py
@@ -16,7 +16,7 @@
 
 def followers(fleet):
     """Return the hosts of the routers that follow the store."""
-    return [h for h in fleet.hosts if fleet.gateways[h]._views.on_duty]
+    return [h for h in fleet.hosts if fleet.gateways[h]._views.watches_store]
 
 
 def who_lists(fleet, name):
--- a/test/test_sources.py
+++ b/test/test_sources.py
@@ -58,8 +58,8 @@
     """Views of a router that follows the store and knows upstreams only."""
 
     def __init__(self, clock):
-        self.on_duty = True
-        self.young = False
+        self.watches_store = True
+        self.starting_up = False
         self.upstreams = UpstreamList()
         self.freshness = FreshnessTracker(Alone(), clock)
 
@@ -286,7 +286,7 @@
 async def test_a_router_that_does_not_follow_the_store_probes_nothing(
     follower,
 ):
-    follower.views.on_duty = False
+    follower.views.watches_store = False
     # The watch that is open ends first.
     await asyncio.sleep(30.0)
     follower.standin.calls.clear()
--- a/test/test_stopping.py
+++ b/test/test_stopping.py
@@ -554,7 +554,7 @@
     # learned of a change, while they served for up to 7 s.
     views = platform.gateway._views
     views._started -= 2 * LEARN_SECONDS
-    assert not views.young and views.on_duty
+    assert not views.starting_up and views.watches_store
     held = await hold_open(platform)
     stopping = begin_stop(platform)
     # A question to the store that is open already still has its answer.
--- a/test/test_young_views.py
+++ b/test/test_young_views.py
@@ -90,11 +90,11 @@
     loop = VirtualLoop()
     asyncio.set_event_loop(loop)
     views = make_views(loop, SeededMembers(seeds), SlowPeers((), 0.1))
-    found = [views.on_duty]
+    found = [views.watches_store]
     loop.run_until_complete(asyncio.sleep(SEEDED_PAUSE + 0.1))
-    found.append(views.on_duty)
+    found.append(views.watches_store)
     loop.run_until_complete(asyncio.sleep(LEARN_SECONDS))
-    found.append(views.on_duty)
+    found.append(views.watches_store)
     loop.close()
     assert found == duties
 
@@ -111,9 +111,9 @@
     listed = [f"10.0.1.{number}:1" for number in range(count)]
     members = SeededMembers(["other"], listed)
     views = make_views(loop, members, SlowPeers((), 0.1))
-    assert views.on_duty
+    assert views.watches_store
     loop.run_until_complete(asyncio.sleep(0.9 * LEARN_SECONDS))
-    assert views.on_duty
+    assert views.watches_store
     loop.close()
 
 
