--- a/rowanport/gateway/askers.py
+++ b/rowanport/gateway/askers.py
@@ -33,14 +33,14 @@
         self.told_config = (0, 0.0)
         self.told_upstreams = ((0, 0), 0.0)
 
-    def take_config(self, version, now):
+    def begin_config_send(self, version, now):
         """Return whether a version is to be told, and note that it is."""
         if not _is_news(version, self.config, self.told_config, now):
             return False
         self.told_config = (version, now)
         return True
 
-    def take_upstreams(self, version, now):
+    def begin_upstreams_send(self, version, now):
         """Return whether a list is to be told, and note that it is."""
         if not _is_news(version, self.upstreams, self.told_upstreams, now):
             return False
--- a/rowanport/gateway/daemon.py
+++ b/rowanport/gateway/daemon.py
@@ -131,8 +131,8 @@
             clocks,
             self.congestion,
         )
-        self._views.on_table = self._take_table
-        self._views.on_upstreams = self._take_upstreams
+        self._views.on_table = self._apply_table
+        self._views.on_upstreams = self._apply_upstreams
         self._views.tell = self._peer_server.tell
         self._peers.on_told = self._hear_told
         self.budgets = BudgetKeeper(
@@ -255,7 +255,7 @@
             )
         return window
 
-    def _take_table(self, table):
+    def _apply_table(self, table):
         limits = table.limits
         self._limits.head = limits.head
         self._limits.body = limits.body
@@ -269,7 +269,7 @@
         }
         self.budgets.set_totals(totals, table.version)
 
-    def _take_upstreams(self, upstreams):
+    def _apply_upstreams(self, upstreams):
         for name in self.pool.update(upstreams.upstreams):
             self._prefixes.forget(name)
             LOG.info("upstream_restarted", upstream=name)
--- a/rowanport/gateway/views.py
+++ b/rowanport/gateway/views.py
@@ -131,7 +131,7 @@
 
     # What is known
 
-    def take_config(self, data, source):
+    def apply_config(self, data, source):
         """Take over a configuration if it is newer.
 
         :param data: its bytes as the store holds them
@@ -151,7 +151,7 @@
         LOG.info("config_in_force", version=table.version, source=source)
         self.on_table(table)
 
-    def take_upstreams(self, upstreams, source):
+    def apply_upstreams(self, upstreams, source):
         """Take over an UpstreamList if it is newer."""
         if upstreams.version > self.upstreams.version:
             self._take_list(upstreams, source)
@@ -229,11 +229,11 @@
         asker = self._askers.hear(ask.asker, ask.config, has, now)
         if ask.config < self._version:
             give.config = self._version
-            if asker.take_config(self._version, now):
+            if asker.begin_config_send(self._version, now):
                 give.config_data = self._pack_config()
         if has < self.upstreams.version:
             give.upstreams, give.step = self.upstreams.version
-            if asker.take_upstreams(self.upstreams.version, now):
+            if asker.begin_upstreams_send(self.upstreams.version, now):
                 give.upstream_data = self._pack_changes(has)
 
     def _pack_changes(self, base):
@@ -251,7 +251,7 @@
         for address, asker in self._askers.recent(now):
             if address in duty:
                 continue
-            if asker.take_upstreams(version, now):
+            if asker.begin_upstreams_send(version, now):
                 base = asker.upstreams
                 if base not in packed:
                     packed[base] = self._pack_changes(base)
@@ -405,4 +405,4 @@
         except zlib.error as error:
             LOG.error("config_unreadable", source=address, error=str(error))
             return
-        self.take_config(data, address)
+        self.apply_config(data, address)
--- a/rowanport/platform/sources.py
+++ b/rowanport/platform/sources.py
@@ -209,7 +209,7 @@
     def change(self, views, listing):
         for item in listing.items:
             if item.key == CONFIG_KEY and item.data is not None:
-                views.take_config(item.data, "store")
+                views.apply_config(item.data, "store")
 
 
 class UpstreamSource(_Source):
@@ -313,7 +313,7 @@
         step = 0
         if revision <= known.revision:
             revision, step = known.revision, known.step + 1
-        views.take_upstreams(
+        views.apply_upstreams(
             UpstreamList(revision, upstreams.values(), step), "store"
         )
 
--- a/soak/broken.py
+++ b/soak/broken.py
@@ -112,13 +112,13 @@
     def apply(self):
         from rowanport.gateway import Gateway
 
-        take = Gateway._take_upstreams
+        apply = Gateway._apply_upstreams
 
-        def take_first(self, upstreams):
+        def apply_first(self, upstreams):
             if not self.pool.candidates("feed", set(), 0.0):
-                take(self, upstreams)
+                apply(self, upstreams)
 
-        Gateway._take_upstreams = take_first
+        Gateway._apply_upstreams = apply_first
 
 
 class TrustsOldViews(Variant):
--- a/test/test_changes.py
+++ b/test/test_changes.py
@@ -144,30 +144,30 @@
 def test_the_same_is_not_told_twice_while_it_is_on_its_way():
     askers = Askers()
     asker = askers.hear("peer", 5, (100, 0), 10.0)
-    assert asker.take_upstreams((101, 0), 10.0)
+    assert asker.begin_upstreams_send((101, 0), 10.0)
     asker = askers.hear("peer", 5, (100, 0), 10.25)
-    assert not asker.take_upstreams((101, 0), 10.25)
-    assert asker.take_upstreams((101, 1), 10.3)
+    assert not asker.begin_upstreams_send((101, 0), 10.25)
+    assert asker.begin_upstreams_send((101, 1), 10.3)
     again = 10.3 + TELL_AGAIN + 0.1
-    assert askers.hear("peer", 5, (100, 0), again).take_upstreams(
+    assert askers.hear("peer", 5, (100, 0), again).begin_upstreams_send(
         (101, 1), again
     )
 
 
 def test_what_an_asker_knows_is_not_told():
     asker = Askers().hear("peer", 5, (100, 1), 10.0)
-    assert not asker.take_upstreams((100, 1), 10.0)
-    assert not asker.take_upstreams((99, 9), 10.0)
-    assert not asker.take_config(5, 10.0)
-    assert asker.take_config(6, 10.0)
-    assert not asker.take_config(6, 10.1)
+    assert not asker.begin_upstreams_send((100, 1), 10.0)
+    assert not asker.begin_upstreams_send((99, 9), 10.0)
+    assert not asker.begin_config_send(5, 10.0)
+    assert asker.begin_config_send(6, 10.0)
+    assert not asker.begin_config_send(6, 10.1)
 
 
 def test_who_starts_again_is_told_at_once():
     askers = Askers()
-    askers.hear("peer", 5, (100, 0), 10.0).take_upstreams((101, 0), 10.0)
+    askers.hear("peer", 5, (100, 0), 10.0).begin_upstreams_send((101, 0), 10.0)
     asker = askers.hear("peer", 0, NO_LIST, 10.2)
-    assert asker.take_upstreams((101, 0), 10.2)
+    assert asker.begin_upstreams_send((101, 0), 10.2)
 
 
 def test_news_go_to_those_that_asked_lately():
--- a/test/test_last_check.py
+++ b/test/test_last_check.py
@@ -11,7 +11,7 @@
     known = platform.gateway.upstreams
     for upstream in known.upstreams.values():
         upstream.leaving = upstream.leaving or upstream.id == name
-    platform.gateway.views.take_upstreams(
+    platform.gateway.views.apply_upstreams(
         UpstreamList(known.revision, known.upstreams.values(), known.step + 1),
         "test",
     )
--- a/test/test_platform.py
+++ b/test/test_platform.py
@@ -613,7 +613,7 @@
         self.configs = []
         self.freshness = FreshnessTracker(Alone(), SystemClock())
 
-    def take_config(self, data, source):
+    def apply_config(self, data, source):
         self.configs.append(json.loads(data)["version"])
 
 
--- a/test/test_sources.py
+++ b/test/test_sources.py
@@ -63,7 +63,7 @@
         self.upstreams = UpstreamList()
         self.freshness = FreshnessTracker(Alone(), clock)
 
-    def take_upstreams(self, upstreams, source):
+    def apply_upstreams(self, upstreams, source):
         self.upstreams = upstreams
 
 
--- a/test/test_views.py
+++ b/test/test_views.py
@@ -137,7 +137,7 @@
     loop = VirtualLoop()
     data = large_config()
     giver = make_views(loop, FewMembers(), None, decode_config)
-    giver.take_config(data, "store")
+    giver.apply_config(data, "store")
     give = giver.handle(ViewAsk(0, 0, "asker", 0.0, 0, NO_NEWS, [], 0))
     assert len(give.config_data) * 10 < len(data)
     loop.close()
@@ -146,7 +146,7 @@
 def test_a_configuration_passes_from_router_to_router():
     loop = VirtualLoop()
     first = make_views(loop, FewMembers(), None, decode_config)
-    first.take_config(large_config(), "store")
+    first.apply_config(large_config(), "store")
     second = make_views(loop, FewMembers(), OnePeer(first), decode_config)
     third = make_views(loop, FewMembers(), OnePeer(second), decode_config)
     loop.run_until_complete(second.ask("first"))
--- a/test/test_young_views.py
+++ b/test/test_young_views.py
@@ -147,7 +147,7 @@
     newer = UpstreamList(NEWEST - 100, [])
     steps = [
         lambda: loop.run_until_complete(source.load_old(views)),
-        lambda: views.take_upstreams(newer, "peer"),
+        lambda: views.apply_upstreams(newer, "peer"),
     ]
     for step in steps if first == "store" else reversed(steps):
         step()
