--- a/rowanport/gateway/attempt.py
+++ b/rowanport/gateway/attempt.py
@@ -24,7 +24,7 @@
     :ivar flight: its Flight
     :ivar tokens: tokens that are set aside for it beside another one
     :ivar answer: the HttpAnswer, None until its head is here
-    :ivar silent_at: steady time from which its silence is too long, None if
+    :ivar stalled_at: steady time from which its silence is too long, None if
         nothing else can be done than to wait
     :ivar silence_note: what its silence has led to, None unless it is too
         long
@@ -35,8 +35,8 @@
         "flight",
         "tokens",
         "answer",
-        "silent_at",
-        "silence_note",
+        "stalled_at",
+        "stall_note",
         "_opening",
         "_make_relay",
         "_relay",
@@ -50,8 +50,8 @@
         self.flight = flight
         self.tokens = 0
         self.answer = None
-        self.silent_at = None
-        self.silence_note = None
+        self.stalled_at = None
+        self.stall_note = None
         self._opening = opening
         self._make_relay = relay
         self._relay = None
@@ -66,7 +66,7 @@
         return self._closed
 
     @property
-    def begun(self):
+    def head_received(self):
         """Return whether its answer has begun to arrive."""
         return self.answer is not None
 
@@ -76,7 +76,7 @@
         return self._relay is not None
 
     @property
-    def proved(self):
+    def usable(self):
         """Return whether what has arrived is surely of use by itself.
 
         That is a whole event of a stream, or a plain answer that is whole or
@@ -105,14 +105,14 @@
                 return
         await self._read_piece()
 
-    async def prove(self):
+    async def wait_until_usable(self):
         """Wait until enough of the answer is here to go on with it.
 
         :raises UpstreamError: it failed or broke off
         """
         if self.answer is None:
             await self._read_head()
-        while not self.proved:
+        while not self.usable:
             await self._read_piece()
 
     async def _read_head(self):
@@ -133,7 +133,7 @@
         if responder.started and not is_stream(self.answer):
             raise UpstreamError(f"status {status} instead of events")
 
-    async def pass_on(self):
+    async def forward(self):
         """Pass on what has arrived.
 
         :raises UpstreamError: the answer is none that may be passed on
--- a/rowanport/gateway/race.py
+++ b/rowanport/gateway/race.py
@@ -39,7 +39,7 @@
     def _proved(self):
         """Return the latest Attempt that goes on, None if none does."""
         for attempt in reversed(self._racers):
-            if attempt.proved:
+            if attempt.usable:
                 return attempt
         return None
 
@@ -51,9 +51,9 @@
         end, even if it goes on after all.
         """
         for attempt in reversed(self._racers):
-            if attempt.proved:
+            if attempt.usable:
                 return attempt
-            if attempt.begun and is_stream(attempt.answer):
+            if attempt.head_received and is_stream(attempt.answer):
                 return None
         return None
 
@@ -97,17 +97,17 @@
     def _start_proofs(self):
         for attempt in self._racers:
             if attempt not in self._proofs:
-                proof = asyncio.ensure_future(attempt.prove())
+                proof = asyncio.ensure_future(attempt.wait_until_usable())
                 self._proofs[attempt] = proof
 
     def _patience(self):
         """Return the seconds to wait for news, None for any."""
         if self._proved is not None:
             return OVERLAP
-        silent_at = self._racers[-1].silent_at
-        if silent_at is None:
+        stalled_at = self._racers[-1].stalled_at
+        if stalled_at is None:
             return None
-        return max(0.0, silent_at - self._clock.steady())
+        return max(0.0, stalled_at - self._clock.steady())
 
     def _drop_failed(self):
         """Take out the Attempts that failed, but for the last one."""
--- a/rowanport/gateway/sending.py
+++ b/rowanport/gateway/sending.py
@@ -75,7 +75,7 @@
             if not await self._advances(attempt):
                 return await self._follow_silence(attempt)
             self._check(attempt)
-            await attempt.pass_on()
+            await attempt.forward()
             self._note_sign(attempt)
             return attempt
         except UpstreamError as error:
@@ -85,10 +85,10 @@
 
     async def _advances(self, attempt):
         """Wait for a sign of an upstream; return False if it stays silent."""
-        if attempt.silent_at is None:
+        if attempt.stalled_at is None:
             await attempt.advance()
             return True
-        left = max(0.0, attempt.silent_at - self._clock.steady())
+        left = max(0.0, attempt.stalled_at - self._clock.steady())
         try:
             async with asyncio.timeout(left):
                 await attempt.advance()
@@ -277,18 +277,18 @@
 
     def _note_sign(self, attempt):
         """Count an upstream's silence from now on."""
-        attempt.silence_note = None
+        attempt.stall_note = None
         silence = self._silence(attempt)
-        attempt.silent_at = None
+        attempt.stalled_at = None
         if silence is not None:
-            attempt.silent_at = self._clock.steady() + silence
+            attempt.stalled_at = self._clock.steady() + silence
 
     def _silence(self, attempt):
         """Return the longest silence in seconds, None for any."""
         job = self._job
         if not self._can_run_again:
             return None
-        if attempt.begun and is_stream(attempt.answer):
+        if attempt.head_received and is_stream(attempt.answer):
             return EVENT_SILENCE
         if job.tokens is not None:
             return FIRST_EVENT_OBJECTIVES * job.route.objective
@@ -316,10 +316,10 @@
         winner = await race.run()
         self._close_losers(race.racers, winner)
         self._job.upstream = winner.state.record.id
-        if winner.proved:
+        if winner.usable:
             self._note_sign(winner)
         else:
-            winner.silent_at = self._clock.steady() + ASK_AGAIN
+            winner.stalled_at = self._clock.steady() + ASK_AGAIN
         return winner
 
     def _begin_beside(self, silent):
@@ -333,7 +333,7 @@
             tokens = self._repeats.take_beside(job, self._responder)
         except RepeatRefused as refusal:
             self._note_silence(silent, str(refusal))
-            silent.silent_at = self._clock.steady() + ASK_AGAIN
+            silent.stalled_at = self._clock.steady() + ASK_AGAIN
             return None
         state = self._choose_among(self._repeats.candidates_beside(job))
         other = self._begin(state)
@@ -344,11 +344,11 @@
 
     def _note_silence(self, attempt, why):
         """Count a silence against its upstream; log what it leads to."""
-        if attempt.silence_note is None:
+        if attempt.stall_note is None:
             # What is new goes elsewhere for a while.
             attempt.state.note_failure(self._clock.steady())
-        if attempt.silence_note != why:
-            attempt.silence_note = why
+        if attempt.stall_note != why:
+            attempt.stall_note = why
             self._log.note_send(self._job, attempt.state, "silent", why)
 
     def _close_losers(self, racers, winner):
