--- a/bench/engines/fleet.py
+++ b/bench/engines/fleet.py
@@ -17,7 +17,7 @@
 from rowanport.gateway.prefixes import PrefixMap
 from rowanport.gateway.store_watchers import store_watchers
 from rowanport.gateway.upstream import Upstream
-from rowanport.gateway.views import ASK_INTERVAL
+from rowanport.gateway.views import POLL_INTERVAL
 from rowanport.hashing import hash_of
 from rowanport.routing import Route
 from rowanport.routing import RouteKind
@@ -172,7 +172,7 @@
         """Ask one that hears of all sends what it heard, again and again."""
         timeline = self._fleet.timeline
         if now < self._fleet.ends_at:
-            timeline.schedule(now + ASK_INTERVAL, self.ask)
+            timeline.schedule(now + POLL_INTERVAL, self.ask)
         seconds = self.notes.begin_asking()
         if seconds:
             address = self._fleet.draw_one(store_watchers(self))
@@ -229,7 +229,7 @@
         for kind in self._pattern.kinds:
             self._plan(kind, seconds)
         for router in self.routers:
-            at = self._asks_rng.uniform(0, ASK_INTERVAL)
+            at = self._asks_rng.uniform(0, POLL_INTERVAL)
             self.timeline.schedule(at, router.ask)
         for at in self._pattern.restarts:
             self.timeline.schedule(at, self._restart)
@@ -328,7 +328,7 @@
         if request.first is None:
             request.first = now + late - job.arrived
             state.backlog.note_first_event(ahead, request.first, now)
-        job.note_events([_EVENT], now)
+        job.record_events([_EVENT], now)
         request.pause = job.longest_pause
 
     @staticmethod
--- a/rowanport/gateway/choice.py
+++ b/rowanport/gateway/choice.py
@@ -72,7 +72,7 @@
 
     def late_start(self, candidates, job, now):
         overload = self._overloads.setdefault(job.service, Overload())
-        waits = [state.delay(now) for state in candidates]
+        waits = [state.start_delay(now) for state in candidates]
         objective = job.route.objective
         return overload.late_start(waits, objective, job.priority, now)
 
@@ -141,7 +141,7 @@
         return [
             state
             for state in candidates
-            if state.wait(self.unread(state, job, now), now) <= limit
+            if state.expected_wait(self.unread(state, job, now), now) <= limit
         ]
 
     def _soonest(self, candidates, job, now):
@@ -155,7 +155,7 @@
             unread = self.unread(state, job, now)
             if rank == 0:
                 unread -= presumed
-            return int(state.wait(unread, now) / ALIKE_SECONDS), rank
+            return int(state.expected_wait(unread, now) / ALIKE_SECONDS), rank
 
         return by_id[order[min(range(len(order)), key=weight)]]
 
--- a/rowanport/gateway/crashes.py
+++ b/rowanport/gateway/crashes.py
@@ -260,7 +260,7 @@
             del self._crashed[next(iter(self._crashed))]
         state = self._pool.get(name.partition("@")[0])
         if state is not None and state.record.run.name == name:
-            state.note_crash(at)
+            state.record_crash(at)
 
     def _take_changes(self, suspects):
         """Act on what is new of some Suspects."""
--- a/rowanport/gateway/job.py
+++ b/rowanport/gateway/job.py
@@ -147,10 +147,10 @@
             return self.reserved
         if not self.whole:
             return self.tokens.worst
-        return self.tokens.worst - self.unmade
+        return self.tokens.worst - self.remaining_tokens
 
     @property
-    def unmade(self):
+    def remaining_tokens(self):
         """Return the tokens that a run may make beyond what was passed on."""
         if self.tokens is None:
             return 0
@@ -168,7 +168,7 @@
         made = (self.events - 1) * self.tokens.per_event + 1
         return self.tokens.prompt + min(self.tokens.most, made)
 
-    def note_events(self, events, now):
+    def record_events(self, events, now):
         """Count some Events that are about to be passed on."""
         if self.first_event_at is None:
             self.first_event_at = now
--- a/rowanport/gateway/pool.py
+++ b/rowanport/gateway/pool.py
@@ -40,7 +40,7 @@
         self.ejected_until = 0.0
         self.crashed_until = 0.0
 
-    def wait(self, unread, now):
+    def expected_wait(self, unread, now):
         """Return the seconds to the first event of one more request.
 
         :param unread: prompt tokens of it that are not cached there
@@ -49,26 +49,26 @@
         running = RUNNING_SECONDS * self.outstanding
         return tokens / self.backlog.rate + running
 
-    def delay(self, now):
+    def start_delay(self, now):
         """Return the seconds until it begins one more request.
 
         Its own prompt does not count: a large one is late on an idle engine
         as well, and turned away it is served nowhere.
         """
-        return self.wait(0, now) + self.backlog.lag(now)
+        return self.expected_wait(0, now) + self.backlog.lag(now)
 
-    def note_success(self):
+    def record_success(self):
         """Note that it answered a request."""
         self.failures = 0
 
-    def note_failure(self, now, weight=1):
+    def record_failure(self, now, weight=1):
         """Note that it failed; leave it out for a while if it goes on."""
         self.failures += weight
         if self.failures >= EJECT_AFTER:
             self.failures = EJECT_AFTER - 1
             self.ejected_until = now + EJECT_SECONDS
 
-    def note_crash(self, at):
+    def record_crash(self, at):
         """Note that it crashed: for a while nobody listens there."""
         self.crashed_until = max(self.crashed_until, at + CRASH_SECONDS)
 
--- a/rowanport/gateway/relay.py
+++ b/rowanport/gateway/relay.py
@@ -90,7 +90,7 @@
             if _is_next(job, event)
         ]
         if events:
-            job.note_events(events, self._clock.steady())
+            job.record_events(events, self._clock.steady())
             await self._responder.write(b"".join(e.data for e in events))
 
     async def finish(self):
--- a/rowanport/gateway/repeats.py
+++ b/rowanport/gateway/repeats.py
@@ -41,7 +41,7 @@
         :raises RepeatRefused: it is not allowed now; nothing was taken
         """
         self._check_beside(job, responder)
-        tokens = job.unmade if job.budget is not None else 0
+        tokens = job.remaining_tokens if job.budget is not None else 0
         if tokens:
             if not self._gateway.budgets.reserve_now(job.budget, tokens):
                 raise RepeatRefused("no tokens for a second run")
--- a/rowanport/gateway/sending.py
+++ b/rowanport/gateway/sending.py
@@ -58,7 +58,7 @@
             attempt = await self._begin_admitted()
             while not self._job.whole:
                 attempt = await self._step(attempt)
-            attempt.state.note_success()
+            attempt.state.record_success()
             run = attempt.state.record.run
             self._crashes.note_whole(self._job, run)
             self._log.note_answered()
@@ -261,7 +261,7 @@
     def _note_rejection(self, state, error):
         self._job.rejections += 1
         if error.misdirected:
-            state.note_failure(self._clock.steady(), weight=2)
+            state.record_failure(self._clock.steady(), weight=2)
             self._gateway.client.forget(state.record.address)
         self._log.note_send(self._job, state, "not_executed", error)
 
@@ -270,7 +270,7 @@
         if not error.started:
             self._job.failed_connections += 1
             weight = 2
-        state.note_failure(self._clock.steady(), weight)
+        state.record_failure(self._clock.steady(), weight)
         self._log.note_send(self._job, state, "failed", error)
 
     # Silence
@@ -346,7 +346,7 @@
         """Count a silence against its upstream; log what it leads to."""
         if attempt.stall_note is None:
             # What is new goes elsewhere for a while.
-            attempt.state.note_failure(self._clock.steady())
+            attempt.state.record_failure(self._clock.steady())
         if attempt.stall_note != why:
             attempt.stall_note = why
             self._log.note_send(self._job, attempt.state, "silent", why)
--- a/rowanport/gateway/stopping.py
+++ b/rowanport/gateway/stopping.py
@@ -41,7 +41,7 @@
     def __init__(self):
         self._seconds = {}
 
-    def note(self, service, seconds):
+    def record(self, service, seconds):
         """Take in the time of an answer that went out whole."""
         usual = self._seconds.get(service, seconds)
         usual += NEWEST_WEIGHT * (seconds - usual)
@@ -105,7 +105,7 @@
         tokens = collections.Counter()
         for job in self._held:
             if job.budget is not None:
-                tokens[job.budget] += job.unmade
+                tokens[job.budget] += job.remaining_tokens
         return tokens
 
     def begin(self, grace):
@@ -142,7 +142,7 @@
     def note_whole(self, job):
         """Note that a job's answer went out whole."""
         seconds = self._clock.steady() - job.arrived
-        self._durations.note(job.service, seconds)
+        self._durations.record(job.service, seconds)
 
     def end_of(self, job):
         """Return the steady time at which a job is over at the latest."""
--- a/rowanport/gateway/views.py
+++ b/rowanport/gateway/views.py
@@ -33,7 +33,7 @@
 
 # Seconds between two questions to peers: a change reaches all routers of a
 # cell in about three rounds.
-ASK_INTERVAL = 0.25
+POLL_INTERVAL = 0.25
 # Seconds for an answer: a router whose link is congested learns late, but it
 # learns, and a late answer tells it of its link.
 ASK_TIMEOUT = 3.0
@@ -281,7 +281,7 @@
                     # Not awaited: one that is cut off would hold up the next.
                     if len(self._asks) < ASKS_AT_ONCE:
                         self._asks.spawn(self.ask(address))
-                await asyncio.sleep(ASK_INTERVAL)
+                await asyncio.sleep(POLL_INTERVAL)
         finally:
             self._asks.cancel()
 
--- a/test/test_entries.py
+++ b/test/test_entries.py
@@ -256,7 +256,7 @@
     job = make_job()
     name = router.send(job)
     state = router.pool.get(name)
-    state.note_failure(router.clock.now, weight=2)
+    state.record_failure(router.clock.now, weight=2)
     state.outstanding = 3
     restart(router, name, born=7)
     fresh = router.pool.get(name)
--- a/test/test_silent_upstreams.py
+++ b/test/test_silent_upstreams.py
@@ -261,7 +261,7 @@
 async def stop_in_silence(scene, pause):
     """Stop the router while six streams pause; return their outcomes."""
     # Streams of this service usually take 3 s, as the router has seen.
-    scene.gateway.stopping._durations.note("feed", 3.0)
+    scene.gateway.stopping._durations.record("feed", 3.0)
     for upstream in scene.upstreams:
         upstream.pause = 0.7
     scene.pause_all(5, pause)
