--- a/rowanport/gateway/daemon.py
+++ b/rowanport/gateway/daemon.py
@@ -344,18 +344,18 @@
 
     async def _ask_seeds(self):
         """Ask the seeds for views until there are some."""
-        while not self._known and self.settings.seeds:
+        while not self._has_initial_views and self.settings.seeds:
             for address in self.settings.seeds:
                 if address != self.settings.peers:
                     await self._views.ask(address, SEED_TIMEOUT)
             await asyncio.sleep(SEED_PAUSE)
 
     @property
-    def _known(self):
+    def _has_initial_views(self):
         return self.table is not None and self.upstreams.revision > 0
 
     async def _become_ready(self):
-        while not self._known:
+        while not self._has_initial_views:
             await asyncio.sleep(READY_POLL)
         if not self.stopping.begun:
             self.members.set_state(READY)
--- a/rowanport/gateway/forwarder.py
+++ b/rowanport/gateway/forwarder.py
@@ -7,7 +7,7 @@
 from .decisions import DecisionLog
 from .refusals import late_error
 from .repeats import Repeats
-from .sending import Sending
+from .sender import JobSender
 
 
 class Forwarder:
@@ -118,10 +118,10 @@
 
     async def _send(self, job, responder):
         """Send a job to upstreams until it is answered."""
-        sending = Sending(
+        sender = JobSender(
             self._gateway, self._log, self._repeats, job, responder
         )
-        await sending.run()
+        await sender.run()
 
     async def _send_error(self, job, request, responder, error, arrived):
         self._note_end(job, error.kind.value, arrived, error.detail)
--- a/rowanport/gateway/sending.py
+++ b/rowanport/gateway/sender.py
@@ -29,7 +29,7 @@
 ASK_AGAIN = 0.25
 
 
-class Sending:
+class JobSender:
     """The sends of one Job.
 
     :param gateway: the Gateway, for its parts
--- a/rowanport/gateway/views.py
+++ b/rowanport/gateway/views.py
@@ -21,13 +21,13 @@
 from ..supervision import beat
 from ..tasks import TaskSet
 from .askers import Askers
-from .changes import ChangeLog
-from .changes import NO_LIST
-from .changes import UpstreamDelta
 from .expired_entries import RetainedUpstreams
 from .freshness_tracker import FreshnessTracker
 from .store_watchers import store_watchers
 from .upstream import UpstreamList
+from .upstream_delta import ChangeLog
+from .upstream_delta import NO_LIST
+from .upstream_delta import UpstreamDelta
 
 LOG = structlog.get_logger(__name__)
 
--- a/soak/broken.py
+++ b/soak/broken.py
@@ -64,12 +64,12 @@
         from rowanport.errors import ErrorKind
         from rowanport.errors import RequestError
         from rowanport.gateway import repeats
-        from rowanport.gateway import sending
+        from rowanport.gateway import sender
 
         def give_up(job, error):
             return RequestError(ErrorKind.UPSTREAM_REFUSED, str(error))
 
-        repeats.give_up = sending.give_up = give_up
+        repeats.give_up = sender.give_up = give_up
 
 
 class RunsAgain(Variant):
@@ -251,7 +251,7 @@
     def apply(self):
         from rowanport.gateway import Gateway
 
-        Gateway.ready = property(lambda self: self._known)
+        Gateway.ready = property(lambda self: self._has_initial_views)
 
 
 class Drops(Variant):
--- a/test/test_changes.py
+++ b/test/test_changes.py
@@ -5,15 +5,15 @@
 import pytest
 
 from rowanport.errors import MessageError
-from rowanport.gateway import changes
+from rowanport.gateway import upstream_delta
 from rowanport.gateway.askers import Askers
 from rowanport.gateway.askers import TELL_AGAIN
 from rowanport.gateway.askers import TELL_SECONDS
-from rowanport.gateway.changes import ChangeLog
-from rowanport.gateway.changes import NO_LIST
-from rowanport.gateway.changes import UpstreamDelta
 from rowanport.gateway.upstream import Upstream
 from rowanport.gateway.upstream import UpstreamList
+from rowanport.gateway.upstream_delta import ChangeLog
+from rowanport.gateway.upstream_delta import NO_LIST
+from rowanport.gateway.upstream_delta import UpstreamDelta
 
 NAMES = [f"i-{number:010x}" for number in range(70)]
 
@@ -107,7 +107,7 @@
 
 
 def test_who_missed_more_than_is_remembered_is_told_all(monkeypatch):
-    monkeypatch.setattr(changes, "CHANGES_KEPT", 3)
+    monkeypatch.setattr(upstream_delta, "CHANGES_KEPT", 3)
     giver = Giver()
     giver.put(1, full_list().upstreams.values())
     for revision in range(2, 12):
--- a/test/test_entries.py
+++ b/test/test_entries.py
@@ -13,11 +13,11 @@
 import pytest
 
 from rowanport.errors import MessageError
-from rowanport.gateway.changes import ChangeLog
-from rowanport.gateway.changes import NO_LIST
-from rowanport.gateway.changes import UpstreamDelta
 from rowanport.gateway.upstream import Upstream
 from rowanport.gateway.upstream import UpstreamList
+from rowanport.gateway.upstream_delta import ChangeLog
+from rowanport.gateway.upstream_delta import NO_LIST
+from rowanport.gateway.upstream_delta import UpstreamDelta
 from rowanport.platform.entries import decode_entry
 from rowanport.platform.entries import ENTRY_LIMIT
 from rowanport.platform.entries import EntryBook
--- a/test/test_lapses.py
+++ b/test/test_lapses.py
@@ -1,8 +1,5 @@
 """Which upstreams are kept though their entries are gone."""
 
-from rowanport.gateway.changes import ChangeLog
-from rowanport.gateway.changes import NO_LIST
-from rowanport.gateway.changes import UpstreamDelta
 from rowanport.gateway.expired_entries import EXPIRY_GRACE
 from rowanport.gateway.expired_entries import MAX_CALL_SECONDS
 from rowanport.gateway.expired_entries import MIN_EXPIRY_OUTAGE
@@ -10,6 +7,9 @@
 from rowanport.gateway.expired_entries import StoreAvailability
 from rowanport.gateway.upstream import Upstream
 from rowanport.gateway.upstream import UpstreamList
+from rowanport.gateway.upstream_delta import ChangeLog
+from rowanport.gateway.upstream_delta import NO_LIST
+from rowanport.gateway.upstream_delta import UpstreamDelta
 
 
 def upstream(name, lapsing=False):
