--- a/bench/engines/fleet.py
+++ b/bench/engines/fleet.py
@@ -285,7 +285,7 @@
         job.tokens = Tokens(prompt, answer, self._kind.stride)
         job.affinity = ",".join(name for name, _size in parts[:-1])
         job.prefix = hash_of(job.affinity)
-        job.shared = sum(size for _name, size in parts[:-1])
+        job.shared_tokens = sum(size for _name, size in parts[:-1])
         return job
 
     def _send(self, router, candidates, request, parts, answer, now):
@@ -334,7 +334,7 @@
     @staticmethod
     def _end(request, state):
         request.whole = True
-        request.job.whole = True
+        request.job.complete = True
         state.outstanding -= 1
 
 
--- a/rowanport/gateway/choice.py
+++ b/rowanport/gateway/choice.py
@@ -77,7 +77,7 @@
         return overload.late_start(waits, objective, job.priority, now)
 
     def choose(self, candidates, job, now):
-        if job.shared < SHARED_LEAST:
+        if job.shared_tokens < SHARED_LEAST:
             state = self._choose_short(candidates, job, now)
         else:
             state = self._choose_long(candidates, job, now)
@@ -104,7 +104,7 @@
     def unread(self, state, job, now):
         """Return the prompt tokens that an engine has to read of a job."""
         if state.record.id in self._prefixes.engines(job.prefix, now):
-            return job.tokens.prompt - job.shared
+            return job.tokens.prompt - job.shared_tokens
         return job.tokens.prompt
 
     def _evenest(self, candidates, now):
@@ -163,7 +163,7 @@
         """Return the tokens that the first engine may have cached unheard."""
         if self._prefixes.engines(job.prefix, now):
             return 0
-        return int(PRESUMED_SHARE * job.shared)
+        return int(PRESUMED_SHARE * job.shared_tokens)
 
 
 class NearestChoice(Choice):
--- a/rowanport/gateway/job.py
+++ b/rowanport/gateway/job.py
@@ -70,7 +70,7 @@
         "tokens",
         "affinity",
         "prefix",
-        "shared",
+        "shared_tokens",
         "arrived",
         "deadline",
         "caller_deadline",
@@ -87,7 +87,7 @@
         "first_event_at",
         "last_event_at",
         "longest_pause",
-        "whole",
+        "complete",
         "config",
         "view_age",
     )
@@ -103,7 +103,7 @@
         self.tokens = None
         self.affinity = ""
         self.prefix = 0
-        self.shared = 0
+        self.shared_tokens = 0
         self.deadline = arrived + route.timeout
         self.caller_deadline = self.deadline
         self.tried = set()
@@ -119,7 +119,7 @@
         self.first_event_at = None
         self.last_event_at = None
         self.longest_pause = 0.0
-        self.whole = False
+        self.complete = False
         self.config = 0
         self.view_age = None
 
@@ -145,7 +145,7 @@
             return 0
         if self.runs > 1:
             return self.reserved
-        if not self.whole:
+        if not self.complete:
             return self.tokens.worst
         return self.tokens.worst - self.remaining_tokens
 
@@ -249,7 +249,9 @@
         shared = parts[:-1] or parts
         job.affinity = ",".join(name for name, _, _ in shared)
         job.prefix = hash_of(job.affinity)
-        job.shared = sum(_read_number(tokens) for _, _, tokens in shared)
+        job.shared_tokens = sum(
+            _read_number(tokens) for _, _, tokens in shared
+        )
 
 
 def _read_number(text):
--- a/rowanport/gateway/pacing.py
+++ b/rowanport/gateway/pacing.py
@@ -27,7 +27,7 @@
         if job is None:
             return
         self.uneven = job.longest_pause > job.route.gap_objective
-        if self.uneven or job.whole:
+        if self.uneven or job.complete:
             self._job = None
 
 
--- a/rowanport/gateway/relay.py
+++ b/rowanport/gateway/relay.py
@@ -62,7 +62,7 @@
         """Pass on what is held."""
         if not self._responder.started:
             self._fields.append(("content-length", str(self._size)))
-        self._job.whole = True
+        self._job.complete = True
         await self._pass_held()
         await self._responder.finish()
 
@@ -98,7 +98,7 @@
         if self._splitter.torn:
             raise UpstreamError("the stream ended within an event")
         await self._start()
-        self._job.whole = True
+        self._job.complete = True
         await self._responder.finish()
 
 
--- a/rowanport/gateway/sender.py
+++ b/rowanport/gateway/sender.py
@@ -56,7 +56,7 @@
         """
         try:
             attempt = await self._begin_admitted()
-            while not self._job.whole:
+            while not self._job.complete:
                 attempt = await self._step(attempt)
             attempt.state.record_success()
             run = attempt.state.record.run
--- a/test/test_choice.py
+++ b/test/test_choice.py
@@ -125,7 +125,7 @@
     job.tokens = Tokens(shared + own, 100)
     job.affinity = prefix
     job.prefix = hash_of(prefix)
-    job.shared = shared
+    job.shared_tokens = shared
     return job
 
 
@@ -229,7 +229,7 @@
         job = make_job("label", shared=300, own=100, gap_objective=0.3)
         sends.append(router.send(job))
         job.longest_pause = pause
-        job.whole = True
+        job.complete = True
     return sends
 
 
