--- a/rowanport/gateway/expired_entries.py
+++ b/rowanport/gateway/expired_entries.py
@@ -1,32 +1,35 @@
-"""Decides how long upstreams are kept whose entries may only have lapsed.
+"""Decides how long to retain upstreams whose entries may have expired.
 
-Entries lapse in an outage of the store, though their upstreams live, and are
-back soon after it.  Which ones did is a guess of the router that follows the
-store: it is passed on as such, and nobody takes it over who knows better.
+Entries expire in an outage of the store although their upstreams are alive,
+and return soon after it.  A router that watches the store can only presume
+that an entry expired rather than was removed.  It marks such an upstream as
+lapsing for its peers, and a peer that has dropped the upstream already does
+not bring it back.
 """
 
 import math
 
-# Seconds after an outage in which entries that lapsed are back; one that is
-# still missing then is gone, and is sent no more work.
+# Seconds after an outage within which expired entries return.  An upstream
+# whose entry is still missing after that gets no more work.
 EXPIRY_GRACE = 2.3
-# The shortest outage in seconds in which an entry lapses.
+# Shortest outage in seconds in which an entry expires.
 MIN_EXPIRY_OUTAGE = 2.4
-# Longest time in seconds of a call that was sent in an outage and is answered
-# at its end.
+# Longest time in seconds between a call sent during an outage and its answer
+# at the end of the outage.
 MAX_CALL_SECONDS = 1.0
-# Seconds without an answer of the store to any router that make an outage.
+# Seconds without an answer to any router that count as an outage.
 MIN_OUTAGE = MIN_EXPIRY_OUTAGE - MAX_CALL_SECONDS
 
 
 class StoreAvailability:
-    """For how long the store has answered routers without an outage.
+    """The last span in which the store answered routers without an outage.
 
-    An outage of the store is one for all.  What went while it answered others
-    was removed, also where one router could not reach it or heard of nobody.
+    Entries expire only in an outage for all routers.  An entry that disappears
+    while the store answers any router was removed, even if this router could
+    reach neither the store nor a peer at that time.
 
-    :ivar since: from then on it answered some router all the time
-    :ivar until: up to then
+    :ivar since: monotonic time at which the span began
+    :ivar until: monotonic time of the last known answer
     """
 
     __slots__ = ("since", "until")
@@ -35,11 +38,11 @@
         self.since = self.until = -math.inf
 
     def record_answer(self, sent_at):
-        """Note that the store answered a call that was sent at a time."""
+        """Record that the store answered a call sent at ``sent_at``."""
         self.merge(sent_at, sent_at)
 
     def merge(self, since, until):
-        """Take in a span in which the store answered some router."""
+        """Merge a span in which the store answered some router."""
         if since >= self.until + MIN_OUTAGE:
             self.since, self.until = since, until
         elif until > self.since - MIN_OUTAGE:
@@ -47,28 +50,29 @@
             self.until = max(self.until, until)
 
     def may_have_expired(self, now):
-        """Return whether an entry that goes now may have lapsed."""
+        """Return whether an entry that disappears now may have expired."""
         if now >= self.until + MIN_OUTAGE:
             return True
         return now < self.since + MAX_CALL_SECONDS + EXPIRY_GRACE
 
 
 class RetainedUpstreams:
-    """Upstreams in force that are kept without an entry."""
+    """The upstreams in the active list that have no entry any more."""
 
     def __init__(self):
         self._until = {}
 
     def apply(self, upstreams, known, now):
-        """Return what is to be in force of a newer list.
+        """Return the upstreams of a newer list that are to be used.
 
-        :param upstreams: Upstream by id, as the list has it
-        :param known: Upstream by id, as it was in force until now
+        :param upstreams: Upstream by id in the newer list
+        :param known: Upstream by id in the active list
+        :param now: monotonic time in seconds
         """
         upstreams = {
             name: upstream
             for name, upstream in upstreams.items()
-            # One that was dropped here is not taken back by a guess.
+            # A presumption does not bring back an upstream dropped here.
             if not upstream.lapsing or name in known
         }
         self._until = {
@@ -79,8 +83,8 @@
         return upstreams
 
     def pop_overdue(self, now):
-        """Return the ids of those that were kept for long enough."""
-        ended = [name for name, until in self._until.items() if now >= until]
-        for name in ended:
+        """Remove and return the ids whose grace period has ended."""
+        overdue = [name for name, until in self._until.items() if now >= until]
+        for name in overdue:
             del self._until[name]
-        return ended
+        return overdue
--- a/rowanport/gateway/freshness.py
+++ b/rowanport/gateway/freshness.py
@@ -1,23 +1,24 @@
-"""Decides how old what a router knows of the fleet may be.
+"""Measures how old a router's view of the fleet may be.
 
-A router cannot tell "nothing is newer" from news that wait behind other bytes
-on its own full link.  So it counts from when it asked: an answer proves what
-its peer knew at that time at the earliest, however long it was on its way.
+On a congested link a router cannot tell whether nothing has changed or whether
+updates are still queued.  The age of a view is therefore counted from the time
+at which the router sent its query: an answer reflects the peer's state at that
+time or later, however long the answer took.
 """
 
 import enum
 import math
 
-# Age in seconds up to which requests are sent by a view.  An upstream that
-# leaves gets no new work after three, and on a link that is filling up a
-# request is on its way for longer than the last answer.
+# Age in seconds up to which requests are sent by a view.  A leaving upstream
+# must get no new work after 3 s, and on a link that is filling up a request
+# takes longer than the last answer did.
 AGE_LIMIT = 1.1
-# Age from which on several peers are asked at once.
-AGING = 0.6
-# Age in seconds of the newest question that was answered, up to which the own
-# link surely passes what peers know.
+# Age in seconds from which on several peers are queried at once.
+AGING_THRESHOLD = 0.6
+# Age in seconds of the last answered query up to which this router's own link
+# is considered to pass on what its peers know.
 CONTACT_LIMIT = 0.9
-# Age in seconds of a view that was never confirmed.
+# Age in seconds that is reported for a view that was never confirmed.
 UNKNOWN_AGE = 10000.0
 
 
@@ -25,19 +26,20 @@
     """How far a view may be trusted."""
 
     CONFIRMED = "confirmed"
-    # Peers answer at once, and know nothing newer: the store is away.
+    # The store cannot be reached, but peers answer promptly and know nothing
+    # newer.
     LATEST_KNOWN = "newest known"
     STALE = "old"
 
 
 class ViewAge:
-    """Up to when a router's view of the fleet is known to hold.
+    """The time up to which a router's view of the fleet is confirmed.
 
-    All times are steady times of this router.
+    All times are on this router's monotonic clock.
 
-    :ivar known_until: up to then the view is complete
-    :ivar source: who confirmed that
-    :ivar contact_at: when the newest question was sent that was answered
+    :ivar known_until: time up to which the view includes every change
+    :ivar source: peer or store that confirmed it
+    :ivar contact_at: when the last query that was answered was sent
     """
 
     __slots__ = ("known_until", "source", "contact_at")
@@ -48,22 +50,22 @@
         self.contact_at = -math.inf
 
     def record_contact(self, sent_at):
-        """Note that somebody answered what was sent at a time."""
+        """Record that a query sent at ``sent_at`` was answered."""
         self.contact_at = max(self.contact_at, sent_at)
 
     def confirm(self, until, source):
-        """Note who says that nothing is newer up to a time."""
+        """Record that a source knows of no change up to a time."""
         if until > self.known_until:
             self.known_until = until
             self.source = source
 
     def age(self, now):
-        """Return the seconds since the view was known to hold."""
+        """Return the seconds since the view was last confirmed."""
         return min(UNKNOWN_AGE, max(0.0, now - self.known_until))
 
     def is_aging(self, now):
-        """Return whether it is time to ask several peers at once."""
-        return self.age(now) > AGING
+        """Return whether several peers should be queried at once."""
+        return self.age(now) > AGING_THRESHOLD
 
     def freshness(self, now):
         """Return the Freshness of the view."""
@@ -75,50 +77,53 @@
 
 
 class WatchAge:
-    """Up to when a watch of the store has told of all changes.
+    """The time up to which a store watch has reported all changes.
 
-    A watch tells nothing while nothing changes.  But what it has to tell
-    passes the same link as the answers to other calls: one that was sent
-    after the watch and was answered proves that nothing waits.
+    A watch sends nothing while nothing changes.  Its events share a link with
+    the answers to other calls, so the answer to a call that was sent after the
+    watch shows that no event is still queued.
     """
 
-    __slots__ = ("_until", "_begun_at")
+    __slots__ = ("_until", "_started_at")
 
     def __init__(self):
         self.reset()
 
     def reset(self):
-        """Note that nothing is known."""
+        """Forget the watch and everything read before."""
         self._until = -math.inf
-        self._begun_at = None
+        self._started_at = None
 
     def record_read(self, sent_at):
-        """Note that all was read, by a call sent at a time."""
+        """Record a complete read whose call was sent at ``sent_at``."""
         self._until = max(self._until, sent_at)
 
     def begin(self, now):
-        """Note that a watch was sent."""
-        self._begun_at = now
+        """Record that a watch was sent."""
+        self._started_at = now
 
     def complete(self, contact_at):
-        """Note that the watch was answered.
+        """Record that the watch was answered.
 
         :param contact_at: as in :meth:`known_until`
         """
-        self._until = max(self.known_until(contact_at), self._begun_at)
-        self._begun_at = None
+        self._until = max(self.known_until(contact_at), self._started_at)
+        self._started_at = None
 
     def abort(self, contact_at):
-        """Note that the watch ended without an answer."""
+        """Record that the watch ended without an answer.
+
+        :param contact_at: as in :meth:`known_until`
+        """
         self._until = self.known_until(contact_at)
-        self._begun_at = None
+        self._started_at = None
 
     def known_until(self, contact_at):
-        """Return the time up to which all changes were told.
+        """Return the time up to which all changes were reported.
 
-        :param contact_at: when the newest call was sent that anybody
-            answered
+        :param contact_at: when the last answered call to the store or a peer
+            was sent
         """
-        if self._begun_at is None or contact_at <= self._begun_at:
+        if self._started_at is None or contact_at <= self._started_at:
             return self._until
         return max(self._until, contact_at)
--- a/rowanport/gateway/freshness_tracker.py
+++ b/rowanport/gateway/freshness_tracker.py
@@ -1,4 +1,4 @@
-"""How far a router's views of the fleet may be trusted right now."""
+"""Tracks how current a router's views of the fleet are."""
 
 import math
 
@@ -14,13 +14,13 @@
 
 LOG = structlog.get_logger(__name__)
 
-# Longest span in tenths of a second that peers are told for which the store
-# has answered: an outage before that concerns no entry any more.
-LONGEST_STEADY = 120
+# Longest span without a store outage that is reported to peers, in tenths of a
+# second: an earlier outage no longer affects any entry.
+MAX_STORE_UPTIME = 120
 
 
 class FreshnessTracker:
-    """Gathers what peers and the store tell of the age of the views.
+    """Combines what peers and the store report about the age of the views.
 
     :param members: the Membership
     :param clock: a Clock
@@ -33,12 +33,12 @@
         self._watches = {}
         self._reach = None
         self._store_availability = StoreAvailability()
-        self._peers_at = -math.inf
+        self._peer_contact_at = -math.inf
         self._logged = Freshness.CONFIRMED
 
     @property
     def store_availability(self):
-        """Return the StoreAvailability, as far as it is known here."""
+        """Return the StoreAvailability, as far as this router knows it."""
         if self._reach is not None:
             self._store_availability.record_answer(self._reach.heard_at)
         return self._store_availability
@@ -50,22 +50,24 @@
         return min(UNKNOWN_AGE, age)
 
     @property
-    def store_steady(self):
-        """Return for how long it had done so without an outage.
+    def store_uptime(self):
+        """Return how long the store had answered without an outage.
 
-        In tenths of a second, as peers are told.
+        The value is in tenths of a second, as in messages to peers.
         """
-        contact = self.store_availability
-        if contact.since == -math.inf:
+        availability = self.store_availability
+        if availability.since == -math.inf:
             return 0
-        span = 10 * (contact.until - contact.since)
-        return int(min(LONGEST_STEADY, span))
+        span = 10 * (availability.until - availability.since)
+        return int(min(MAX_STORE_UPTIME, span))
 
     @property
     def may_have_expired(self):
-        """Return whether an entry that goes now may have lapsed.
+        """Return whether an entry that disappears now may have expired.
 
-        Only other routers can tell an outage of the store from one's own.
+        Entries expire only if the store is out for all routers.  Without other
+        routers, such an outage cannot be told from a failure of this router's
+        own link.
         """
         if not self._members.knows_others:
             return True
@@ -73,55 +75,59 @@
 
     @property
     def peers_responsive(self):
-        """Return whether peers answer at once, if others are known."""
+        """Return whether peers answer promptly, True if there are none."""
         if not self._members.knows_others:
             return True
-        return self._clock.steady() <= self._peers_at + CONTACT_LIMIT
+        return self._clock.steady() <= self._peer_contact_at + CONTACT_LIMIT
 
     @property
     def contact_at(self):
-        """Return when the newest call was sent that somebody answered."""
+        """Return when the last call that was answered was sent.
+
+        The call may have gone to the store or to a peer.
+        """
         return self._age.contact_at
 
     @property
     def age(self):
-        """Return the seconds since the views were known to hold."""
-        self._confirm_own()
+        """Return the seconds since the views were last confirmed."""
+        self._confirm_from_watches()
         return self._age.age(self._clock.steady())
 
     @property
     def aging(self):
-        """Return whether it is time to look for who confirms the views."""
+        """Return whether the views need to be confirmed soon."""
         if not self._members.knows_others:
             return False
-        self._confirm_own()
+        self._confirm_from_watches()
         return self._age.is_aging(self._clock.steady())
 
     @property
     def current(self):
         """Return the Freshness of the views."""
         if not self._members.knows_others:
-            # There is nobody who could know anything newer.
+            # No other router could know anything newer.
             return Freshness.LATEST_KNOWN
-        self._confirm_own()
+        self._confirm_from_watches()
         return self._age.freshness(self._clock.steady())
 
     @property
     def stale(self):
-        """Return whether the views are too old to send requests by."""
+        """Return whether the views are too old to route requests by."""
         return self.current is Freshness.STALE
 
     def check(self):
-        """Raise RequestError if the views are too old to send requests by."""
+        """Raise RequestError if the views are too old to route requests by."""
         if self.stale:
             raise RequestError(
                 ErrorKind.NOT_READY,
-                f"what is known of the fleet is {self.age:.1f} s old",
+                f"view of the fleet last confirmed {self.age:.1f} s ago",
             )
 
     def register_watch(self, name, age, reach):
-        """Take a watch of the store into account.
+        """Register a watch of the store.
 
+        :param name: the prefix that it watches
         :param age: its WatchAge
         :param reach: the Reach of the store
         """
@@ -129,34 +135,35 @@
         self._reach = reach
 
     def record_contact(self, sent_at):
-        """Note that the store answered what was sent at a time."""
+        """Record that the store answered a call sent at ``sent_at``."""
         self._age.record_contact(sent_at)
 
-    def record_peer_answer(self, asked_at, store_age, store_steady):
-        """Note that a peer answered a question.
+    def record_peer_answer(self, sent_at, store_age, store_uptime):
+        """Record that a peer answered a query.
 
-        :param asked_at: when it was asked
+        :param sent_at: when the query was sent
         :param store_age: seconds since the store answered any router, as far
             as the peer knew
-        :param store_steady: seconds for which it had done so all the time
+        :param store_uptime: seconds for which the store had answered without
+            an outage until then
         """
-        self._age.record_contact(asked_at)
-        self._peers_at = max(self._peers_at, asked_at)
-        until = asked_at - store_age
-        self._store_availability.merge(until - store_steady, until)
+        self._age.record_contact(sent_at)
+        self._peer_contact_at = max(self._peer_contact_at, sent_at)
+        until = sent_at - store_age
+        self._store_availability.merge(until - store_uptime, until)
 
     def confirm(self, until, source):
-        """Note who says that nothing is newer up to a time."""
+        """Record that a source knows of no change up to a time."""
         self._age.confirm(until, source)
 
-    def _confirm_own(self):
-        """Take into account what this router's own watches tell."""
+    def _confirm_from_watches(self):
+        """Apply what this router's own store watches confirm."""
         contact = self._age.contact_at
         known = [age.known_until(contact) for age in self._watches.values()]
         self._age.confirm(min(known, default=-math.inf), "store")
 
     def log_change(self):
-        """Log whether the views may be trusted, when that changes."""
+        """Log the freshness of the views if it has changed."""
         freshness = self.current
         if freshness is self._logged:
             return
--- a/rowanport/gateway/views.py
+++ b/rowanport/gateway/views.py
@@ -204,9 +204,9 @@
         age = round(1000 * self.freshness.age)
         away = round(1000 * self.freshness.store_age)
         wall = self._clock.wall()
-        steady = self.freshness.store_steady
+        uptime = self.freshness.store_uptime
         give = ViewGive(
-            0, b"", 0, b"", wall, [], suspects, [], age, away, 0, steady
+            0, b"", 0, b"", wall, [], suspects, [], age, away, 0, uptime
         )
         if self.loads is not None:
             seconds = message.recent / 1000
--- a/test/test_freshness.py
+++ b/test/test_freshness.py
@@ -5,7 +5,7 @@
 import pytest
 
 from rowanport.gateway.freshness import AGE_LIMIT
-from rowanport.gateway.freshness import AGING
+from rowanport.gateway.freshness import AGING_THRESHOLD
 from rowanport.gateway.freshness import CONTACT_LIMIT
 from rowanport.gateway.freshness import Freshness
 from rowanport.gateway.freshness import ViewAge
@@ -58,7 +58,7 @@
 
 def test_no_answer_and_nothing_newer_are_told_apart():
     age = asked(0.01, 20.0)
-    assert age.is_aging(20.0 + AGING)
+    assert age.is_aging(20.0 + AGING_THRESHOLD)
     assert age.freshness(20.0 + AGE_LIMIT) is Freshness.STALE
     lost_at = 10.0
     age = asked(0.01, 20.0, lambda now: max(0.2, now - lost_at))
