--- a/rowanport/gateway/views.py
+++ b/rowanport/gateway/views.py
@@ -20,9 +20,9 @@
 from ..schema.messages import ViewGive
 from ..supervision import beat
 from ..tasks import TaskSet
-from .askers import Askers
 from .expired_entries import RetainedUpstreams
 from .freshness_tracker import FreshnessTracker
+from .polling_peers import Askers
 from .store_watchers import store_watchers
 from .upstream import UpstreamList
 from .upstream_delta import ChangeLog
--- a/test/test_changes.py
+++ b/test/test_changes.py
@@ -6,9 +6,9 @@
 
 from rowanport.errors import MessageError
 from rowanport.gateway import upstream_delta
-from rowanport.gateway.askers import Askers
-from rowanport.gateway.askers import TELL_AGAIN
-from rowanport.gateway.askers import TELL_SECONDS
+from rowanport.gateway.polling_peers import Askers
+from rowanport.gateway.polling_peers import TELL_AGAIN
+from rowanport.gateway.polling_peers import TELL_SECONDS
 from rowanport.gateway.upstream import Upstream
 from rowanport.gateway.upstream import UpstreamList
 from rowanport.gateway.upstream_delta import ChangeLog
