--- a/rowanport/gateway/polling_peers.py
+++ b/rowanport/gateway/polling_peers.py
@@ -1,92 +1,96 @@
-"""What the routers that ask this one know, and what is on its way to them."""
+"""Tracks which versions the polling peers know, and what was sent to them."""
 
-# Seconds since a router's last question for which it is told news at once.
-TELL_SECONDS = 0.6
-# Seconds after which what was told is told again to who still asks for it.
-TELL_AGAIN = 1.0
-# Seconds for which a router that asks no more is remembered.
+# Seconds after a peer's last poll during which changes are pushed to it.
+PUSH_WINDOW = 0.6
+# Seconds after which a version is sent again if the peer still polls for it.
+RESEND_AFTER = 1.0
+# Seconds without a poll after which a peer is forgotten.
 FORGET_AFTER = 10.0
 
 
-class Asker:
-    """One router that asks.
+class PollingPeer:
+    """The state of one router that polls this one.
 
-    :ivar config: version of the configuration that it knew last
-    :ivar upstreams: version of the list of upstreams that it knew last
-    :ivar asked_at: steady time of its last question
-    :ivar told_config: the newest version of these that was told, and when
-    :ivar told_upstreams: the same of the lists
+    :ivar config: version of the configuration that it reported last
+    :ivar upstreams: version of the list of upstreams that it reported last
+    :ivar polled_at: monotonic time of its last poll
+    :ivar sent_config: (version, monotonic time) of the last configuration
+        that was sent to it
+    :ivar sent_upstreams: the same for the list of upstreams
     """
 
     __slots__ = (
         "config",
         "upstreams",
-        "asked_at",
-        "told_config",
-        "told_upstreams",
+        "polled_at",
+        "sent_config",
+        "sent_upstreams",
     )
 
     def __init__(self):
         self.config = 0
         self.upstreams = (0, 0)
-        self.asked_at = 0.0
-        self.told_config = (0, 0.0)
-        self.told_upstreams = ((0, 0), 0.0)
+        self.polled_at = 0.0
+        self.sent_config = (0, 0.0)
+        self.sent_upstreams = ((0, 0), 0.0)
 
     def begin_config_send(self, version, now):
-        """Return whether a version is to be told, and note that it is."""
-        if not _is_news(version, self.config, self.told_config, now):
+        """Return whether to send a configuration, and record it as sent."""
+        if not _is_due(version, self.config, self.sent_config, now):
             return False
-        self.told_config = (version, now)
+        self.sent_config = (version, now)
         return True
 
     def begin_upstreams_send(self, version, now):
-        """Return whether a list is to be told, and note that it is."""
-        if not _is_news(version, self.upstreams, self.told_upstreams, now):
+        """Return whether to send a list, and record it as sent."""
+        if not _is_due(version, self.upstreams, self.sent_upstreams, now):
             return False
-        self.told_upstreams = (version, now)
+        self.sent_upstreams = (version, now)
         return True
 
 
-def _is_news(version, known, told, now):
-    """Return whether a version is neither known nor on its way."""
+def _is_due(version, known, sent, now):
+    """Return whether a version is neither known nor in flight.
+
+    :param sent: (version, monotonic time) of the last send
+    """
     if version <= known:
         return False
-    told_version, told_at = told
-    return version > told_version or now > told_at + TELL_AGAIN
+    sent_version, sent_at = sent
+    return version > sent_version or now > sent_at + RESEND_AFTER
 
 
-class Askers:
-    """The routers that asked this one lately, by address."""
+class PollingPeers:
+    """The peers that polled this router recently, by address."""
 
     def __init__(self):
-        self._askers = {}
-
-    def hear(self, address, config, upstreams, now):
-        """Note what a router that asks knows; return its Asker."""
-        asker = self._askers.get(address)
-        if asker is None:
-            self._forget(now)
-            asker = self._askers[address] = Asker()
-        if upstreams < asker.upstreams:
-            # It started again, or asks for the whole list.
-            asker.told_upstreams = ((0, 0), 0.0)
-        asker.config = config
-        asker.upstreams = upstreams
-        asker.asked_at = now
-        return asker
+        self._peers = {}
+
+    def record_poll(self, address, config, upstreams, now):
+        """Record the versions that a poll reports; return its PollingPeer."""
+        peer = self._peers.get(address)
+        if peer is None:
+            self._forget_idle(now)
+            peer = self._peers[address] = PollingPeer()
+        if upstreams < peer.upstreams:
+            # The peer restarted, or asks for the complete list.
+            peer.sent_upstreams = ((0, 0), 0.0)
+        peer.config = config
+        peer.upstreams = upstreams
+        peer.polled_at = now
+        return peer
 
     def recent(self, now):
-        """Return (address, Asker) of those that are told news at once."""
+        """Return (address, PollingPeer) of the peers to push changes to."""
         return [
-            (address, asker)
-            for address, asker in self._askers.items()
-            if now <= asker.asked_at + TELL_SECONDS
+            (address, peer)
+            for address, peer in self._peers.items()
+            if now <= peer.polled_at + PUSH_WINDOW
         ]
 
-    def _forget(self, now):
-        self._askers = {
-            address: asker
-            for address, asker in self._askers.items()
-            if now <= asker.asked_at + FORGET_AFTER
+    def _forget_idle(self, now):
+        self._peers = {
+            address: peer
+            for address, peer in self._peers.items()
+            if now <= peer.polled_at + FORGET_AFTER
         }
--- a/rowanport/gateway/store_watchers.py
+++ b/rowanport/gateway/store_watchers.py
@@ -1,18 +1,19 @@
-"""The routers that follow the store for all, and hear of what all send."""
+"""Chooses the routers that watch the store for all, and who gets updates."""
 
 from ..incarnation import address_of
 from ..membership.members import STORE_DUTY
 
-# Other routers up to which all are told news: each pair soon has a connection.
+# Other routers up to which updates are sent to every router.  In a fleet of
+# this size each pair of routers soon has a connection anyway.
 FULL_MESH_LIMIT = 32
-# Routers that follow the store, and the part of a larger fleet that does; the
-# others ask these.  Each change costs each of them a call.
+# Minimum number of routers that watch the store, and their share of a larger
+# fleet; the others poll these.  Each change costs each of them a store call.
 STORE_WATCHERS = 8
 STORE_WATCHER_SHARE = 0.1
 
 
 def store_watchers(members):
-    """Return the addresses of those routers.
+    """Return the addresses of the routers that watch the store.
 
     :param members: the Membership
     """
@@ -20,9 +21,10 @@
 
 
 def update_recipients(members, address):
-    """Return the addresses of the peers that are told news at once.
+    """Return the addresses of the peers to which updates are sent at once.
 
-    In a larger fleet these are the followers, whom all others ask.
+    In a fleet above FULL_MESH_LIMIT these are the store watchers, which all
+    other routers poll.
 
     :param members: the Membership
     :param address: this router's peer address
--- a/rowanport/gateway/upstream.py
+++ b/rowanport/gateway/upstream.py
@@ -1,4 +1,4 @@
-"""Upstreams as the directory lists them, and the list as a whole."""
+"""Upstreams as listed in the directory, and the list of all upstreams."""
 
 import zlib
 
@@ -6,10 +6,11 @@
 
 
 class UpstreamRun:
-    """What tells two runs of upstreams apart.
+    """Identifies one run of an upstream, from its start to its end.
 
     :ivar id: the upstream's id
-    :ivar born: when this run began
+    :ivar born: Unix time in milliseconds at which the run started, 0 if
+        unknown
     """
 
     __slots__ = ("id", "born")
@@ -20,7 +21,7 @@
 
     @property
     def name(self):
-        """Return one text for both."""
+        """Return id and start time as one string."""
         return f"{self.id}@{self.born}" if self.born else self.id
 
     def __eq__(self, other):
@@ -33,15 +34,15 @@
 class Upstream:
     """One run of one upstream.
 
-    :ivar id: found nowhere else; a restart may keep it
-    :ivar service: the service that it belongs to
-    :ivar address: IP and port, which another upstream may get later
-    :ivar slots: requests that it runs at once
-    :ivar leaving: whether it takes no new work
+    :ivar id: unique id, which may stay the same after a restart
+    :ivar service: name of the service that it belongs to
+    :ivar address: IP and port, which may be reused by another upstream
+    :ivar slots: number of requests that it runs at once
+    :ivar leaving: whether it accepts no new requests
     :ivar born: Unix time in milliseconds at which it started, 0 if unknown;
-        a run that began at another time knows nothing of this one
-    :ivar lapsing: whether its entry is gone, and it is kept for a while as
-        the entry may only have lapsed in an outage of the store
+        runs with different start times share no state
+    :ivar lapsing: whether its entry is missing, and the upstream is retained
+        for a while because the entry may have expired in a store outage
     """
 
     __slots__ = (
@@ -77,15 +78,15 @@
 
     @property
     def run(self):
-        """Return its UpstreamRun."""
+        """Return the UpstreamRun that identifies this run."""
         return UpstreamRun(self.id, self.born)
 
     def fields(self):
-        """Return the values of all slots, in their order."""
+        """Return the values of all slots, in the order of the slots."""
         return [getattr(self, slot) for slot in self.__slots__]
 
     def as_lapsing(self):
-        """Return the same upstream without its entry."""
+        """Return a copy that is marked as lapsing."""
         upstream = Upstream(*self.fields())
         upstream.lapsing = True
         return upstream
@@ -99,9 +100,9 @@
 class UpstreamList:
     """All upstreams at one revision of the directory.
 
-    :ivar revision: the directory's
-    :ivar step: counts what a router concluded from the same revision, such
-        as that an entry stayed away for too long
+    :ivar revision: revision of the directory
+    :ivar step: counts the changes that routers made at the same revision,
+        such as dropping an upstream whose entry stayed missing for too long
     :ivar upstreams: Upstream by id
     """
 
@@ -115,14 +116,15 @@
 
     @property
     def version(self):
-        """Return what is greater for a newer list."""
+        """Return (revision, step), which is greater for a newer list."""
         return (self.revision, self.step)
 
     @property
     def digest(self):
-        """Return a checksum, without what is kept as a guess.
+        """Return a checksum of all upstreams that are not lapsing.
 
-        Routers end their guesses by themselves, each at its own time.
+        Lapsing upstreams are left out since each router drops them at its own
+        time.
         """
         if self._digest is None:
             listed = self.upstreams.values()
--- a/rowanport/gateway/upstream_delta.py
+++ b/rowanport/gateway/upstream_delta.py
@@ -1,7 +1,7 @@
-"""What changed between two lists of upstreams, as routers tell each other.
+"""Deltas between two lists of upstreams, which routers send each other.
 
-A list of many upstreams passes slowly on a full link, and changes by a few at
-a time.
+A complete list of many upstreams takes long on a congested link, and only a
+few upstreams change at a time.
 """
 
 import zlib
@@ -12,47 +12,50 @@
 from .upstream import Upstream
 from .upstream import UpstreamList
 
-# Version of a list that is told to who has none.
+# Version that a router without a list reports.
 NO_LIST = (0, 0)
-# Upstreams whose last change is remembered; who missed more is told the whole
-# list.
-CHANGES_KEPT = 2000
+# Upstreams whose last change is remembered; a router that missed more changes
+# gets the complete list.
+MAX_CHANGES = 2000
 
 
 class UpstreamDelta:
-    """What leads from one version of a list to a later one.
+    """The difference between one version of a list and a later one.
 
-    :ivar base: version that it starts from, NO_LIST if it is a whole list
-    :ivar version: version that it leads to
-    :ivar digest: of the list that it leads to
-    :ivar changed: the Upstreams that changed or came
-    :ivar gone: ids of those that went
+    :ivar base: version that it applies to, NO_LIST for a complete list
+    :ivar version: version of the resulting list
+    :ivar digest: digest of the resulting list
+    :ivar changed: the Upstreams that were added or changed
+    :ivar removed: ids of the upstreams that were removed
     """
 
-    __slots__ = ("base", "version", "digest", "changed", "gone")
+    __slots__ = ("base", "version", "digest", "changed", "removed")
 
-    def __init__(self, base, version, digest, changed, gone):
+    def __init__(self, base, version, digest, changed, removed):
         self.base = tuple(base)
         self.version = tuple(version)
         self.digest = digest
         self.changed = changed
-        self.gone = gone
+        self.removed = removed
 
     def pack(self):
-        """Return the bytes for a peer."""
+        """Return the delta as bytes for a peer."""
         rows = [upstream.fields() for upstream in self.changed]
-        fields = [self.base, self.version, self.digest, rows, self.gone]
+        fields = [self.base, self.version, self.digest, rows, self.removed]
         return zlib.compress(msgpack.packb(fields))
 
     @classmethod
     def unpack(cls, data):
-        """Return the delta in a peer's bytes; raise MessageError if unfit."""
+        """Return the delta in a peer's bytes.
+
+        :raises MessageError: the bytes are malformed
+        """
         try:
-            base, version, digest, rows, gone = msgpack.unpackb(
+            base, version, digest, rows, removed = msgpack.unpackb(
                 zlib.decompress(data)
             )
             changed = [Upstream(*row) for row in rows]
-            return cls(base, version, digest, changed, gone)
+            return cls(base, version, digest, changed, removed)
         except (
             ValueError,
             TypeError,
@@ -62,17 +65,17 @@
             raise MessageError("malformed list of upstreams") from None
 
     def apply(self, known):
-        """Return the UpstreamList that it leads to.
+        """Return the resulting UpstreamList.
 
-        :param known: the UpstreamList in force
-        :returns: None if it starts from a later one than that
+        :param known: the active UpstreamList
+        :returns: None if the base of the delta is newer than that
         """
         if known.version < self.base:
             return None
         upstreams = {}
         if self.base != NO_LIST:
             upstreams.update(known.upstreams)
-        for name in self.gone:
+        for name in self.removed:
             upstreams.pop(name, None)
         for upstream in self.changed:
             upstreams[upstream.id] = upstream
@@ -81,33 +84,33 @@
 
 
 class ChangeLog:
-    """When each upstream of a list last changed."""
+    """Remembers in which version each upstream last changed."""
 
     def __init__(self):
         self._changed_at = {}
         self._floor = NO_LIST
 
-    def note(self, old, new):
-        """Note that an UpstreamList took the place of another one."""
+    def record(self, old, new):
+        """Record that one UpstreamList was replaced by another."""
         if old.version == NO_LIST:
             self._floor = new.version
             return
         for name in old.upstreams.keys() | new.upstreams.keys():
             before, after = old.upstreams.get(name), new.upstreams.get(name)
-            # Most of a list are the same objects as in the one before.
+            # Most upstreams are the same objects in both lists.
             if before is not after and before != after:
-                # The latest changes stay at the end.
+                # Keeps the dictionary in the order of changes.
                 self._changed_at.pop(name, None)
                 self._changed_at[name] = new.version
-        while len(self._changed_at) > CHANGES_KEPT:
+        while len(self._changed_at) > MAX_CHANGES:
             oldest = next(iter(self._changed_at))
             self._floor = self._changed_at.pop(oldest)
 
     def delta(self, base, known):
-        """Return the UpstreamDelta to the list in force.
+        """Return the UpstreamDelta that leads to the active list.
 
-        :param base: version of the list that is to be changed
-        :param known: the UpstreamList in force
+        :param base: version of the list that the delta will be applied to
+        :param known: the active UpstreamList
         """
         upstreams = known.upstreams
         if base < self._floor or base == NO_LIST:
--- a/rowanport/gateway/views.py
+++ b/rowanport/gateway/views.py
@@ -22,7 +22,7 @@
 from ..tasks import TaskSet
 from .expired_entries import RetainedUpstreams
 from .freshness_tracker import FreshnessTracker
-from .polling_peers import Askers
+from .polling_peers import PollingPeers
 from .store_watchers import store_watchers
 from .upstream import UpstreamList
 from .upstream_delta import ChangeLog
@@ -80,7 +80,7 @@
         self._congestion = congestion
         self._asks = TaskSet()
         self._asked = collections.Counter()
-        self._askers = Askers()
+        self._polling = PollingPeers()
         self._changes = ChangeLog()
         self._list_wanted = False
         self._retained = RetainedUpstreams()
@@ -165,7 +165,7 @@
         self._put_in_force(upstreams, source)
 
     def _put_in_force(self, upstreams, source):
-        self._changes.note(self.upstreams, upstreams)
+        self._changes.record(self.upstreams, upstreams)
         self.upstreams = upstreams
         records = upstreams.upstreams.values()
         LOG.info(
@@ -226,7 +226,7 @@
         """
         now = self._clock.steady()
         has = (ask.upstreams, ask.step)
-        asker = self._askers.hear(ask.asker, ask.config, has, now)
+        asker = self._polling.record_poll(ask.asker, ask.config, has, now)
         if ask.config < self._version:
             give.config = self._version
             if asker.begin_config_send(self._version, now):
@@ -248,7 +248,7 @@
         version = self.upstreams.version
         duty = store_watchers(self._members)
         packed = {}
-        for address, asker in self._askers.recent(now):
+        for address, asker in self._polling.recent(now):
             if address in duty:
                 continue
             if asker.begin_upstreams_send(version, now):
--- a/test/test_changes.py
+++ b/test/test_changes.py
@@ -6,9 +6,9 @@
 
 from rowanport.errors import MessageError
 from rowanport.gateway import upstream_delta
-from rowanport.gateway.polling_peers import Askers
-from rowanport.gateway.polling_peers import TELL_AGAIN
-from rowanport.gateway.polling_peers import TELL_SECONDS
+from rowanport.gateway.polling_peers import PollingPeers
+from rowanport.gateway.polling_peers import PUSH_WINDOW
+from rowanport.gateway.polling_peers import RESEND_AFTER
 from rowanport.gateway.upstream import Upstream
 from rowanport.gateway.upstream import UpstreamList
 from rowanport.gateway.upstream_delta import ChangeLog
@@ -36,7 +36,7 @@
 
     def put(self, revision, upstreams, step=0):
         new = UpstreamList(revision, upstreams, step)
-        self.log.note(self.known, new)
+        self.log.record(self.known, new)
         self.known = new
 
     def tell(self, base):
@@ -107,7 +107,7 @@
 
 
 def test_who_missed_more_than_is_remembered_is_told_all(monkeypatch):
-    monkeypatch.setattr(upstream_delta, "CHANGES_KEPT", 3)
+    monkeypatch.setattr(upstream_delta, "MAX_CHANGES", 3)
     giver = Giver()
     giver.put(1, full_list().upstreams.values())
     for revision in range(2, 12):
@@ -142,37 +142,39 @@
 
 
 def test_the_same_is_not_told_twice_while_it_is_on_its_way():
-    askers = Askers()
-    asker = askers.hear("peer", 5, (100, 0), 10.0)
-    assert asker.begin_upstreams_send((101, 0), 10.0)
-    asker = askers.hear("peer", 5, (100, 0), 10.25)
-    assert not asker.begin_upstreams_send((101, 0), 10.25)
-    assert asker.begin_upstreams_send((101, 1), 10.3)
-    again = 10.3 + TELL_AGAIN + 0.1
-    assert askers.hear("peer", 5, (100, 0), again).begin_upstreams_send(
-        (101, 1), again
-    )
+    polling = PollingPeers()
+    peer = polling.record_poll("peer", 5, (100, 0), 10.0)
+    assert peer.begin_upstreams_send((101, 0), 10.0)
+    peer = polling.record_poll("peer", 5, (100, 0), 10.25)
+    assert not peer.begin_upstreams_send((101, 0), 10.25)
+    assert peer.begin_upstreams_send((101, 1), 10.3)
+    again = 10.3 + RESEND_AFTER + 0.1
+    assert polling.record_poll(
+        "peer", 5, (100, 0), again
+    ).begin_upstreams_send((101, 1), again)
 
 
 def test_what_an_asker_knows_is_not_told():
-    asker = Askers().hear("peer", 5, (100, 1), 10.0)
-    assert not asker.begin_upstreams_send((100, 1), 10.0)
-    assert not asker.begin_upstreams_send((99, 9), 10.0)
-    assert not asker.begin_config_send(5, 10.0)
-    assert asker.begin_config_send(6, 10.0)
-    assert not asker.begin_config_send(6, 10.1)
+    peer = PollingPeers().record_poll("peer", 5, (100, 1), 10.0)
+    assert not peer.begin_upstreams_send((100, 1), 10.0)
+    assert not peer.begin_upstreams_send((99, 9), 10.0)
+    assert not peer.begin_config_send(5, 10.0)
+    assert peer.begin_config_send(6, 10.0)
+    assert not peer.begin_config_send(6, 10.1)
 
 
 def test_who_starts_again_is_told_at_once():
-    askers = Askers()
-    askers.hear("peer", 5, (100, 0), 10.0).begin_upstreams_send((101, 0), 10.0)
-    asker = askers.hear("peer", 0, NO_LIST, 10.2)
-    assert asker.begin_upstreams_send((101, 0), 10.2)
+    polling = PollingPeers()
+    polling.record_poll("peer", 5, (100, 0), 10.0).begin_upstreams_send(
+        (101, 0), 10.0
+    )
+    peer = polling.record_poll("peer", 0, NO_LIST, 10.2)
+    assert peer.begin_upstreams_send((101, 0), 10.2)
 
 
-def test_news_go_to_those_that_asked_lately():
-    askers = Askers()
+def test_updates_go_to_those_that_asked_lately():
+    polling = PollingPeers()
     for number in range(4):
-        askers.hear(f"peer-{number}", 1, (1, 0), 10.0 + number)
-    now = 13.0 + TELL_SECONDS
-    assert [address for address, _asker in askers.recent(now)] == ["peer-3"]
+        polling.record_poll(f"peer-{number}", 1, (1, 0), 10.0 + number)
+    now = 13.0 + PUSH_WINDOW
+    assert [address for address, _peer in polling.recent(now)] == ["peer-3"]
