--- a/rowanport/gateway/decisions.py
+++ b/rowanport/gateway/decisions.py
@@ -65,7 +65,7 @@
             organisation=job.organisation and job.organisation.name,
             config=job.config,
             upstreams=revision,
-            tokens=job.tokens and job.tokens.worst,
+            tokens=job.tokens and job.tokens.max_total,
             used=used,
             sends=job.sends,
             runs=job.runs,
--- a/rowanport/gateway/forwarder.py
+++ b/rowanport/gateway/forwarder.py
@@ -109,7 +109,7 @@
         budget = job.budget
         if budget is None:
             return await self._send(job, responder)
-        job.reserved = job.tokens.worst
+        job.reserved = job.tokens.max_total
         await gateway.budgets.reserve(budget, job.reserved)
         try:
             await self._send(job, responder)
--- a/rowanport/gateway/job.py
+++ b/rowanport/gateway/job.py
@@ -1,4 +1,4 @@
-"""One request on its way through the gateway."""
+"""A request that the gateway has admitted, and its admission."""
 
 from ..errors import ErrorKind
 from ..errors import RequestError
@@ -6,58 +6,61 @@
 
 
 class Tokens:
-    """What a request costs at its most.
+    """The maximum token usage of a request.
 
-    :ivar prompt: tokens of the prompt, counted once a request
-    :ivar most: most tokens of the answer
-    :ivar per_event: most tokens that one event of the answer holds
+    :ivar prompt: tokens of the prompt, counted once per request
+    :ivar max_completion: maximum tokens of the answer
+    :ivar per_event: maximum tokens in one event of the answer
     """
 
-    __slots__ = ("prompt", "most", "per_event")
+    __slots__ = ("prompt", "max_completion", "per_event")
 
-    def __init__(self, prompt, most, per_event=1):
+    def __init__(self, prompt, max_completion, per_event=1):
         self.prompt = prompt
-        self.most = most
+        self.max_completion = max_completion
         self.per_event = per_event
 
     @property
-    def worst(self):
-        """Return the tokens that a request uses at its most."""
-        return self.prompt + self.most
+    def max_total(self):
+        """Return the maximum tokens of prompt and answer together."""
+        return self.prompt + self.max_completion
 
 
 class Job:
-    """A request with what was decided about it.
+    """An admitted request and the state of its processing.
 
     :ivar request: the HttpRequest
-    :ivar id: the caller's id of it
-    :ivar route: the Route in force when it was read
+    :ivar id: the request id that the caller set
+    :ivar route: the Route that was active when it was admitted
     :ivar service: name of the service that it goes to
-    :ivar fingerprint: what it shares with the same request sent again
+    :ivar fingerprint: hash that a repeated request has in common with it
     :ivar organisation: the Organisation, or None on a public route
-    :ivar tokens: its Tokens, or None if it uses none
-    :ivar affinity: what it should be near, "" for nothing
-    :ivar prefix: hash of that, for routers to tell each other
-    :ivar shared: prompt tokens that it shares with others
-    :ivar deadline: steady time at which the caller has its answer or none
-    :ivar caller_deadline: steady time until which the caller waits
-    :ivar tried: UpstreamRuns that are not tried again
-    :ivar sends: upstreams that it was sent to, rejections included
-    :ivar runs: sends that may have been run
+    :ivar tokens: its Tokens, or None if it names none
+    :ivar affinity: ids of the prompt's shared parts, by which an upstream with
+        a cached prefix is found; "" for none
+    :ivar prefix: hash of the affinity, as routers report it to each other
+    :ivar shared_tokens: prompt tokens in the shared parts
+    :ivar arrived: monotonic time of its arrival
+    :ivar deadline: monotonic time at which the request fails if unanswered
+    :ivar caller_deadline: monotonic time until which the caller waits
+    :ivar tried: UpstreamRuns that must not be tried again
+    :ivar sends: number of sends, rejected ones included
+    :ivar runs: sends that an upstream may have executed
     :ivar rejections: sends that an upstream rejected
-    :ivar failed_connections: sends for which there was no connection
-    :ivar reserved: tokens of its budget that are set aside for it
+    :ivar failed_connections: sends that failed for lack of a connection
+    :ivar reserved: tokens of its budget that are reserved for it
     :ivar upstream: id of the upstream that it was last sent to, or None
-    :ivar backlog: prompt tokens that it had still to read when it was
-        chosen, None before the first choice
-    :ivar last_event: number of the last event passed on, or None
-    :ivar events: events passed on
-    :ivar first_event_at: steady time of the first event, or None
-    :ivar last_event_at: steady time of the last event, or None
+    :ivar backlog: prompt tokens queued at that upstream when it was chosen,
+        None before the first choice
+    :ivar last_event: id of the last forwarded event, or None
+    :ivar events: number of forwarded events
+    :ivar first_event_at: monotonic time of the first event, or None
+    :ivar last_event_at: monotonic time of the last event, or None
     :ivar longest_pause: longest time in seconds between two events
-    :ivar whole: whether the answer was passed on whole
-    :ivar view_age: seconds since the list of upstreams was known to hold, as
-        the last send went out, or None
+    :ivar complete: whether the answer was forwarded completely
+    :ivar config: version of the configuration that admitted it
+    :ivar view_age: age in seconds of the view of the fleet at the last send,
+        or None
     """
 
     __slots__ = (
@@ -125,7 +128,7 @@
 
     @property
     def budget(self):
-        """Return the name of the budget that it draws on, or None."""
+        """Return the name of the prepaid budget that pays for it, or None."""
         if self.tokens is None or self.organisation is None:
             return None
         if self.organisation.prepaid is None:
@@ -134,42 +137,44 @@
 
     @property
     def priority(self):
-        """Return its rank, 0 the highest."""
+        """Return the priority; 0 is the highest."""
         own = self.organisation and self.organisation.priority
         return self.route.priority if own is None else own
 
     @property
     def used(self):
-        """Return the tokens that it used, or may have used."""
+        """Return the tokens that it used, or at most may have used."""
         if not self.runs:
             return 0
         if self.runs > 1:
             return self.reserved
         if not self.complete:
-            return self.tokens.worst
-        return self.tokens.worst - self.remaining_tokens
+            return self.tokens.max_total
+        return self.tokens.max_total - self.remaining_tokens
 
     @property
     def remaining_tokens(self):
-        """Return the tokens that a run may make beyond what was passed on."""
+        """Return the tokens that a run may generate beyond those forwarded."""
         if self.tokens is None:
             return 0
-        made = self.events * self.tokens.per_event
-        return self.tokens.most - min(self.tokens.most, made)
+        generated = self.events * self.tokens.per_event
+        return self.tokens.max_completion - min(
+            self.tokens.max_completion, generated
+        )
 
     @property
     def spent(self):
-        """Return the tokens that it surely used, by what was passed on.
+        """Return the tokens that it used at least, from the forwarded events.
 
         The last event may hold fewer tokens than the others.
         """
         if not self.events:
             return 0
-        made = (self.events - 1) * self.tokens.per_event + 1
-        return self.tokens.prompt + min(self.tokens.most, made)
+        generated = (self.events - 1) * self.tokens.per_event + 1
+        return self.tokens.prompt + min(self.tokens.max_completion, generated)
 
     def record_events(self, events, now):
-        """Count some Events that are about to be passed on."""
+        """Record some Events that are about to be forwarded."""
         if self.first_event_at is None:
             self.first_event_at = now
         else:
@@ -181,7 +186,7 @@
 
 
 class Admission:
-    """Turns requests into Jobs by the configuration in force.
+    """Turns requests into Jobs by the active configuration.
 
     :param dialect: a Dialect
     :param fingerprints: the Fingerprints
@@ -195,7 +200,8 @@
         """Return the Job of a request.
 
         :param table: the RoutingTable, or None while none is known
-        :raises RequestError: it is not allowed
+        :param now: monotonic time of its arrival
+        :raises RequestError: the request is not admitted
         """
         if table is None:
             raise RequestError(ErrorKind.NOT_READY, "no configuration yet")
@@ -233,10 +239,10 @@
         text = job.request.header(self._dialect.tokens)
         if not text:
             return
-        prompt, _, most = text.partition(",")
+        prompt, _, completion = text.partition(",")
         job.tokens = Tokens(
             _read_number(prompt),
-            _read_number(most or "0"),
+            _read_number(completion or "0"),
             table.services[job.service].tokens_per_event,
         )
 
@@ -245,7 +251,7 @@
         if not text:
             return
         parts = [part.strip().partition(":") for part in text.split(",")]
-        # The last part is the request's own; what comes before is shared.
+        # The last part is specific to the request; those before are shared.
         shared = parts[:-1] or parts
         job.affinity = ",".join(name for name, _, _ in shared)
         job.prefix = hash_of(job.affinity)
@@ -260,5 +266,5 @@
     except ValueError:
         number = -1
     if number < 0:
-        raise RequestError(ErrorKind.MALFORMED, "not a whole number")
+        raise RequestError(ErrorKind.MALFORMED, "not a non-negative integer")
     return number
--- a/rowanport/gateway/pool.py
+++ b/rowanport/gateway/pool.py
@@ -1,24 +1,29 @@
-"""The upstreams as one router sees them, and which of them take work."""
+"""This router's state of each upstream, and which upstreams take requests."""
 
 from .backlog import Backlog
 from .pacing import Pacing
 
-# Failures in a row after which an upstream is left out, and for how long in
-# seconds; a failed connection counts as that many.
+# Consecutive failures after which an upstream is ejected, and for how many
+# seconds.  A failed connection counts as two failures.
 EJECT_AFTER = 2
 EJECT_SECONDS = 2.0
-# Seconds for which one that crashed is left out: by then its entry is gone.
-CRASH_SECONDS = 5.0
-# Seconds that one running request adds to the wait: 500 prompt tokens' time.
+# Seconds for which a crashed upstream is ejected; by then its entry is gone.
+CRASH_EJECT_SECONDS = 5.0
+# Seconds that each running request adds to the expected wait, as much as 500
+# prompt tokens.
 RUNNING_SECONDS = 0.01
 
 
 class UpstreamState:
-    """An upstream as this router sees it.
+    """What this router knows of an upstream.
 
+    :ivar record: the Upstream as listed
     :ivar outstanding: requests of this router that run there
-    :ivar backlog: what it has still to read, a Backlog
-    :ivar pacing: how evenly its streams come, a Pacing
+    :ivar backlog: the Backlog of prompt tokens that it has not processed
+    :ivar pacing: the Pacing, which tells how evenly its streams arrive
+    :ivar failures: consecutive failures
+    :ivar ejected_until: monotonic time until which it gets no requests
+    :ivar crashed_until: the same after a crash
     """
 
     __slots__ = (
@@ -40,37 +45,41 @@
         self.ejected_until = 0.0
         self.crashed_until = 0.0
 
-    def expected_wait(self, unread, now):
-        """Return the seconds to the first event of one more request.
+    def expected_wait(self, uncached, now):
+        """Return the expected seconds to the first event of one more request.
 
-        :param unread: prompt tokens of it that are not cached there
+        :param uncached: prompt tokens of the request that are not cached there
         """
-        tokens = self.backlog.tokens(now) + unread
+        tokens = self.backlog.tokens(now) + uncached
         running = RUNNING_SECONDS * self.outstanding
         return tokens / self.backlog.rate + running
 
     def start_delay(self, now):
-        """Return the seconds until it begins one more request.
+        """Return the expected seconds until it starts one more request.
 
-        Its own prompt does not count: a large one is late on an idle engine
-        as well, and turned away it is served nowhere.
+        The request's own prompt does not count: a large prompt takes long on
+        an idle engine too, and a request refused for it would be served
+        nowhere.
         """
         return self.expected_wait(0, now) + self.backlog.lag(now)
 
     def record_success(self):
-        """Note that it answered a request."""
+        """Record that the upstream answered a request."""
         self.failures = 0
 
     def record_failure(self, now, weight=1):
-        """Note that it failed; leave it out for a while if it goes on."""
+        """Record a failure; eject the upstream after EJECT_AFTER of them.
+
+        :param weight: number of failures that it counts as
+        """
         self.failures += weight
         if self.failures >= EJECT_AFTER:
             self.failures = EJECT_AFTER - 1
             self.ejected_until = now + EJECT_SECONDS
 
     def record_crash(self, at):
-        """Note that it crashed: for a while nobody listens there."""
-        self.crashed_until = max(self.crashed_until, at + CRASH_SECONDS)
+        """Record a crash: for a while nothing listens at its address."""
+        self.crashed_until = max(self.crashed_until, at + CRASH_EJECT_SECONDS)
 
 
 class UpstreamPool:
@@ -80,12 +89,12 @@
         self._states = {}
 
     def update(self, upstreams):
-        """Take over a list of upstreams.
+        """Apply a list of upstreams.
 
-        One that started again under its id begins without a past.
+        The state of an upstream that restarted under the same id is dropped.
 
         :param upstreams: Upstream by id
-        :returns: the ids of those that started again
+        :returns: the ids of the upstreams that restarted
         """
         states, restarted = {}, []
         for name, record in upstreams.items():
@@ -104,24 +113,26 @@
         return self._states.get(name)
 
     def candidates(self, service, avoid, now):
-        """Return the UpstreamStates that a request may go to.
+        """Return the UpstreamStates to which a request may be sent.
 
-        Ejected ones are among them only if half of the service or more is
-        ejected: then the fault is hardly the upstreams' own.
+        Ejected upstreams are included only if more than half of those of the
+        service are ejected: the cause is then hardly the upstreams themselves.
 
-        :param avoid: UpstreamRuns that it is not to meet again, most often
+        :param avoid: UpstreamRuns to which it must not be sent again, usually
             none
         """
-        taking = [
+        accepting = [
             state
             for state in self._states.values()
             if state.record.service == service and not state.record.leaving
         ]
-        taking = [s for s in taking if s.crashed_until <= now] or taking
-        healthy = [s for s in taking if s.ejected_until <= now]
-        if 2 * len(healthy) < len(taking):
-            healthy = taking
+        accepting = [
+            s for s in accepting if s.crashed_until <= now
+        ] or accepting
+        healthy = [s for s in accepting if s.ejected_until <= now]
+        if 2 * len(healthy) < len(accepting):
+            healthy = accepting
         if not avoid:
             return healthy
         fresh = [s for s in healthy if s.record.run not in avoid]
-        return fresh or [s for s in taking if s.record.run not in avoid]
+        return fresh or [s for s in accepting if s.record.run not in avoid]
