--- a/bench/engines/fleet.py
+++ b/bench/engines/fleet.py
@@ -149,11 +149,11 @@
 
     # What LoadNotes asks of members and peers
 
-    def ready_others(self):
+    def ready_peers(self):
         """Return the incarnations of the other routers."""
         return [f"r/{n}/1" for n in range(self._fleet.size) if n != self.name]
 
-    others = ready_others
+    live_peers = ready_peers
 
     def delegates(self, kind, least, share):
         """Return the addresses of the routers that do something for all."""
--- a/rowanport/gateway/blocklist.py
+++ b/rowanport/gateway/blocklist.py
@@ -120,7 +120,7 @@
 
     def _turn(self, suspect):
         """Return how many routers come before this one."""
-        routers = [address_of(other) for other in self._members.others()]
+        routers = [address_of(other) for other in self._members.live_peers()]
         routers.append(self._address)
         order = rendezvous(fingerprint_text(suspect.fingerprint), routers)
         return order.index(self._address)
--- a/rowanport/gateway/followers.py
+++ b/rowanport/gateway/followers.py
@@ -27,7 +27,7 @@
     :param members: the Membership
     :param address: this router's peer address
     """
-    others = members.others()
+    others = members.live_peers()
     if len(others) > DIRECT_FLEET:
         return [peer for peer in followers(members) if peer != address]
     return [address_of(other) for other in others]
--- a/rowanport/gateway/limits.py
+++ b/rowanport/gateway/limits.py
@@ -192,7 +192,7 @@
             for peer, until in self._away_until.items()
             if until > now
         }
-        ready = map(address_of, self._members.ready_others())
+        ready = map(address_of, self._members.ready_peers())
         others = [peer for peer in ready if peer not in self._away_until]
         if others and self._members.own.state == LEAVING:
             # No other router takes it for one that grants any more.
--- a/rowanport/gateway/loads.py
+++ b/rowanport/gateway/loads.py
@@ -77,12 +77,12 @@
         if self._is_large:
             peers = followers(self._members)
             return random.sample(peers, min(count, len(peers)))
-        return map(address_of, self._members.ready_others()[:count])
+        return map(address_of, self._members.ready_peers()[:count])
 
     @property
     def _is_large(self):
         """Return whether most routers hear of sends from those that follow."""
-        return len(self._members.others()) > DIRECT_FLEET
+        return len(self._members.live_peers()) > DIRECT_FLEET
 
     def _fanout(self, now):
         """Count a note that is about to be sent; return to how many peers."""
--- a/rowanport/gateway/standing.py
+++ b/rowanport/gateway/standing.py
@@ -67,14 +67,14 @@
 
         Only other routers can tell an outage of the store from one's own.
         """
-        if not self._members.knows_others:
+        if not self._members.knows_peers:
             return True
         return self.store_contact.may_have_lapsed(self._clock.steady())
 
     @property
     def hears_peers(self):
         """Return whether peers answer at once, if others are known."""
-        if not self._members.knows_others:
+        if not self._members.knows_peers:
             return True
         return self._clock.steady() <= self._peers_at + CONTACT_LIMIT
 
@@ -92,7 +92,7 @@
     @property
     def aging(self):
         """Return whether it is time to look for who confirms the views."""
-        if not self._members.knows_others:
+        if not self._members.knows_peers:
             return False
         self._confirm_own()
         return self._age.is_aging(self._clock.steady())
@@ -100,7 +100,7 @@
     @property
     def value(self):
         """Return the Standing of the views."""
-        if not self._members.knows_others:
+        if not self._members.knows_peers:
             # There is nobody who could know anything newer.
             return Standing.NEWEST
         self._confirm_own()
--- a/rowanport/gateway/stopping.py
+++ b/rowanport/gateway/stopping.py
@@ -196,6 +196,6 @@
     def _refusal(self, why):
         self.refused += 1
         come_back_at = None
-        if not self._members.ready_others():
+        if not self._members.ready_peers():
             come_back_at = self._clock.steady() + RETURN
         return RequestError(ErrorKind.STOPPING, why, come_back_at=come_back_at)
--- a/rowanport/gateway/views.py
+++ b/rowanport/gateway/views.py
@@ -301,7 +301,7 @@
 
         They are shuffled; any will do while no follower is known.
         """
-        ready = [address_of(peer) for peer in self._members.ready_others()]
+        ready = [address_of(peer) for peer in self._members.ready_peers()]
         duty = followers(self._members)
         follow = [peer for peer in ready if peer in duty]
         if follow and not self.standing.aging:
--- a/rowanport/membership/members.py
+++ b/rowanport/membership/members.py
@@ -325,19 +325,19 @@
                 self.suspect(name)
 
     @property
-    def knows_others(self):
+    def knows_peers(self):
         """Return whether another router of the cell is remembered."""
         return any(member.near for member in self._members.values())
 
     def entries(self):
         """Return the incarnations of the cell that may ask for tokens."""
-        others = self.others()
+        others = self.live_peers()
         if others:
             return others
         # Alone in the cell, a home serves its own entry unwitnessed.
         return [self._incarnation]
 
-    def others(self):
+    def live_peers(self):
         """Return the other live incarnations of the cell."""
         return [
             member.entry.incarnation
@@ -345,13 +345,13 @@
             if member.near
         ]
 
-    def ready_others(self):
+    def ready_peers(self):
         """Return the other live and ready incarnations of the cell."""
-        ready = self._ready_others()
+        ready = self._ready_peers()
         self._random.shuffle(ready)
         return ready
 
-    def _ready_others(self):
+    def _ready_peers(self):
         return [
             member.entry.incarnation
             for member in self._fresh_members()
@@ -360,7 +360,7 @@
 
     def some(self, count):
         """Return some live incarnations, of this and of other cells."""
-        near = self.others()
+        near = self.live_peers()
         far = [
             member.entry.incarnation
             for member in self._fresh_members()
@@ -371,7 +371,7 @@
 
     def witness(self):
         """Return the router that witnesses this one's own reservations."""
-        ready = self._ready_others()
+        ready = self._ready_peers()
         if not ready:
             return None
         return rendezvous(self._incarnation, ready)[0]
@@ -381,7 +381,7 @@
         key = f"{kind}/{shard}"
         order = self._homes.get(key)
         if order is None:
-            ready = self._ready_others()
+            ready = self._ready_peers()
             if self._own.state == READY:
                 ready.append(self._incarnation)
             order = rendezvous(key, ready) or [self._incarnation]
--- a/rowanport/prepaid/handover.py
+++ b/rowanport/prepaid/handover.py
@@ -101,7 +101,7 @@
 
     async def find_heirs(self):
         """Return ready peers that answer and take tokens now."""
-        candidates = self._members.ready_others()[:CANDIDATES]
+        candidates = self._members.ready_peers()[:CANDIDATES]
         calls = [self._is_willing(peer) for peer in candidates]
         answers = await asyncio.gather(*calls)
         heirs = [p for p, willing in zip(candidates, answers) if willing]
--- a/rowanport/prepaid/keeper.py
+++ b/rowanport/prepaid/keeper.py
@@ -424,7 +424,7 @@
         held = sorted(self._refill.held(), key=lambda account: -account.total)
         LOG.info(
             "budgets_held",
-            routers=1 + len(self._members.others()),
+            routers=1 + len(self._members.live_peers()),
             holders=len(self._holders.of("")),
             held={
                 account.name: (account.available, account.left)
--- a/rowanport/prepaid/lender.py
+++ b/rowanport/prepaid/lender.py
@@ -108,7 +108,7 @@
         budget a single one may have what is left.
         """
         own = address_of(self._incarnation)
-        others = [address_of(peer) for peer in self._members.others()]
+        others = [address_of(peer) for peer in self._members.live_peers()]
         holders = set(self._keeper.holders(account.name)) - {own}
         others += filter(self._members.is_unheard, holders)
         random.shuffle(others)
--- a/rowanport/prepaid/returns.py
+++ b/rowanport/prepaid/returns.py
@@ -64,7 +64,7 @@
         idle = [a for a in self._accounts.values() if self._is_idle(a)]
         if not idle:
             return
-        ready = {address_of(p): p for p in self._members.ready_others()}
+        ready = {address_of(p): p for p in self._members.ready_peers()}
         shares = {}
         for account in idle:
             holders = self._holders.of(account.name)
--- a/test/prepaid_world.py
+++ b/test/prepaid_world.py
@@ -158,10 +158,10 @@
     def live(self):
         return self._all()
 
-    def others(self):
+    def live_peers(self):
         return [name for name in self._all() if name != self._incarnation]
 
-    def ready_others(self):
+    def ready_peers(self):
         return [
             router.incarnation
             for router in self._world.routers.values()
--- a/test/test_choice.py
+++ b/test/test_choice.py
@@ -60,10 +60,10 @@
         self._others = others
         self._own = own
 
-    def ready_others(self):
+    def ready_peers(self):
         return list(self._others)
 
-    others = ready_others
+    live_peers = ready_peers
 
     def delegates(self, kind, least, share):
         names = [self._own, *map(address_of, self._others)]
--- a/test/test_membership.py
+++ b/test/test_membership.py
@@ -144,8 +144,8 @@
     clock = observer._clock = CountingClock(cell.clock.steady())
     for _number in range(20):
         assert len(observer.live()) == 60
-        assert len(observer.others()) == 59
-        assert len(observer.ready_others()) == 59
+        assert len(observer.live_peers()) == 59
+        assert len(observer.ready_peers()) == 59
     assert clock.asked < 3 * 60
 
 
--- a/test/test_peer_connections.py
+++ b/test/test_peer_connections.py
@@ -400,11 +400,11 @@
 class SilentMembers:
     """Members of which none seems alive."""
 
-    knows_others = True
+    knows_peers = True
     seeds = ["seed"]
     listed = ["listed", "own"]
 
-    def ready_others(self):
+    def ready_peers(self):
         return []
 
     def delegates(self, kind, least, share):
--- a/test/test_prepaid_fleet.py
+++ b/test/test_prepaid_fleet.py
@@ -71,7 +71,7 @@
         world.start(f"10.0.1.{number}:1")
     world.advance(8.0)
     keeper = next(iter(world.routers.values())).keeper
-    with mock.patch.object(keeper._members, "others", lambda: []):
+    with mock.patch.object(keeper._members, "live_peers", lambda: []):
         assert len(keeper.holders(BUDGET)) == HOLDERS
     world.close()
 
--- a/test/test_prepaid_start.py
+++ b/test/test_prepaid_start.py
@@ -34,11 +34,11 @@
     def _heard(self):
         return self._world.loop.now >= self._heard_at
 
-    def others(self):
-        return super().others() if self._heard else []
+    def live_peers(self):
+        return super().live_peers() if self._heard else []
 
-    def ready_others(self):
-        return super().ready_others() if self._heard else []
+    def ready_peers(self):
+        return super().ready_peers() if self._heard else []
 
     def is_unheard(self, address):
         listed = set(rendezvous("store", FLEET)[:9])
--- a/test/test_silence_races.py
+++ b/test/test_silence_races.py
@@ -128,7 +128,7 @@
         await self.second.start()
         HOST.set("caller")
         async with asyncio.timeout(20.0):
-            while len(self.gateway.members.ready_others()) < 1:
+            while len(self.gateway.members.ready_peers()) < 1:
                 await asyncio.sleep(0.1)
         await asyncio.sleep(2.0)
 
--- a/test/test_sources.py
+++ b/test/test_sources.py
@@ -51,7 +51,7 @@
 class Alone:
     """Members of a fleet of one router."""
 
-    knows_others = False
+    knows_peers = False
 
 
 class ListViews:
--- a/test/test_stopping.py
+++ b/test/test_stopping.py
@@ -221,7 +221,7 @@
     def __init__(self):
         self.ready = ["another"]
 
-    def ready_others(self):
+    def ready_peers(self):
         return self.ready
 
 
--- a/test/test_views.py
+++ b/test/test_views.py
@@ -43,13 +43,13 @@
 class FewMembers:
     """Two ready peers, the one that is asked first before the other."""
 
-    knows_others = True
+    knows_peers = True
 
     def __init__(self):
         self._turn = 0
         self.version = 0
 
-    def ready_others(self):
+    def ready_peers(self):
         self._turn += 1
         return ["x/silent/1", "x/slow/1"][:: 1 if self._turn % 2 else -1]
 
--- a/test/world.py
+++ b/test/world.py
@@ -189,7 +189,7 @@
         """Believe what a timeout says until the next heartbeat."""
         self._suspected[incarnation] = self._world.loop.now + 1.0
 
-    def others(self):
+    def live_peers(self):
         cell = cell_of(self._incarnation)
         return [
             name
@@ -198,10 +198,10 @@
         ]
 
     def entries(self):
-        return self.others() or [self._incarnation]
+        return self.live_peers() or [self._incarnation]
 
     def witness(self):
-        order = rendezvous(self._incarnation, self.others())
+        order = rendezvous(self._incarnation, self.live_peers())
         return order[0] if order else None
 
     def homes(self, shard, kind="ledger"):
