--- a/rowanport/config/follower.py
+++ b/rowanport/config/follower.py
@@ -120,7 +120,7 @@
     async def _run_store(self):
         while True:
             order = self._members.homes("root", "config")
-            watching = self._members.own.incarnation in order[:WATCHERS]
+            watching = self._members.own_entry.incarnation in order[:WATCHERS]
             try:
                 if watching or not self._store_version:
                     await self._watch(WATCH_WAIT if watching else 0.0)
--- a/rowanport/gateway/daemon.py
+++ b/rowanport/gateway/daemon.py
@@ -229,7 +229,7 @@
         """
         if self._loops.failing or self._views.standing.old:
             return False
-        return self.members.own.state == READY
+        return self.members.own_entry.state == READY
 
     def loop_silences(self):
         """Return by loop the seconds since it was last heard of."""
--- a/rowanport/gateway/limits.py
+++ b/rowanport/gateway/limits.py
@@ -194,7 +194,7 @@
         }
         ready = map(address_of, self._members.ready_peers())
         others = [peer for peer in ready if peer not in self._away_until]
-        if others and self._members.own.state == LEAVING:
+        if others and self._members.own_entry.state == LEAVING:
             # No other router takes it for one that grants any more.
             return others
         return [self._address, *others]
--- a/rowanport/membership/members.py
+++ b/rowanport/membership/members.py
@@ -99,7 +99,7 @@
     # Own entry
 
     @property
-    def own(self):
+    def own_entry(self):
         """Return this router's own entry."""
         return self._own
 
--- a/rowanport/router/daemon.py
+++ b/rowanport/router/daemon.py
@@ -373,7 +373,7 @@
     @property
     def ready(self):
         """Return whether callers may come."""
-        return self.members.own.state == READY
+        return self.members.own_entry.state == READY
 
     async def start(self):
         """Listen, and become ready once a configuration is in force."""
--- a/rowanport/router/operators.py
+++ b/rowanport/router/operators.py
@@ -73,7 +73,7 @@
         return {
             "name": router.settings.router.name,
             "incarnation": router.incarnation,
-            "state": router.members.own.state,
+            "state": router.members.own_entry.state,
             "config_version": router.config.snapshot.version,
             "requests": router.callers.busy,
             "unsettled": self._unsettled,
--- a/test/test_membership.py
+++ b/test/test_membership.py
@@ -79,8 +79,10 @@
     loop = MembershipLoop(
         one, peers, None, cell.settings, None, one.suspect_address
     )
-    asyncio.run(loop._tell(address_of(other.own.incarnation), one._message()))
-    assert one.is_alive(other.own.incarnation) is not gone
+    asyncio.run(
+        loop._tell(address_of(other.own_entry.incarnation), one._message())
+    )
+    assert one.is_alive(other.own_entry.incarnation) is not gone
 
 
 def test_listed_routers_that_are_not_known_are_greeted_at_once():
@@ -172,7 +174,7 @@
     cell = Cell(4)
     cell.run()
     silent = "10.0.0.2:1"
-    name = cell.members[silent].own.incarnation
+    name = cell.members[silent].own_entry.incarnation
     observer = cell.members["10.0.0.0:1"]
     assert observer.is_alive(name)
     cell.run(10, frozen=(silent,))
@@ -186,7 +188,7 @@
     cell = Cell(3)
     cell.run()
     observer = cell.members["10.0.0.0:1"]
-    name = cell.members["10.0.0.1:1"].own.incarnation
+    name = cell.members["10.0.0.1:1"].own_entry.incarnation
     observer.suspect(name)
     assert not observer.is_alive(name)
     cell.run(5)
@@ -200,7 +202,7 @@
     leaving.set_state(LEAVING)
     cell.run(6)
     observer = cell.members["10.0.0.0:1"]
-    name = leaving.own.incarnation
+    name = leaving.own_entry.incarnation
     assert name not in {observer.home(shard) for shard in range(16)}
     assert name in observer.entries()
 
@@ -208,7 +210,7 @@
 def test_a_restart_at_the_same_address_is_another_router():
     cell = Cell(3)
     cell.run()
-    old = cell.members["10.0.0.2:1"].own.incarnation
+    old = cell.members["10.0.0.2:1"].own_entry.incarnation
     cell.add(2, nonce="b")
     cell.run(20)
     observer = cell.members["10.0.0.0:1"]
