--- a/rowanport/membership/members.py
+++ b/rowanport/membership/members.py
@@ -307,9 +307,9 @@
             for name, member in self._members.items()
         )
 
-    def is_unheard(self, address):
+    def is_presumed_live(self, address):
         """Return whether a listed router was not heard of since the start."""
-        return address in self._unheard()
+        return address in self._presumed_live()
 
     def suspect(self, incarnation):
         """Take a router for dead until its counter rises again."""
@@ -426,12 +426,12 @@
             and member.seen > limit
             and member.entry.state != LEAVING
         }
-        addresses |= self._unheard()
+        addresses |= self._presumed_live()
         if self._own.state != LEAVING:
             addresses.add(self._address)
         return addresses
 
-    def _unheard(self):
+    def _presumed_live(self):
         """Return the listed addresses of which nothing was heard yet.
 
         For a while after the start their routers are taken for live.  Where
--- a/rowanport/prepaid/lender.py
+++ b/rowanport/prepaid/lender.py
@@ -110,7 +110,7 @@
         own = address_of(self._incarnation)
         others = [address_of(peer) for peer in self._members.live_peers()]
         holders = set(self._keeper.holders(account.name)) - {own}
-        others += filter(self._members.is_unheard, holders)
+        others += filter(self._members.is_presumed_live, holders)
         random.shuffle(others)
         others.sort(key=lambda address: address not in holders)
         others.sort(key=lambda address: address != account.lender)
--- a/test/prepaid_world.py
+++ b/test/prepaid_world.py
@@ -178,7 +178,7 @@
         count = max(least, int(share * len(addresses)))
         return rendezvous(kind, addresses)[:count]
 
-    def is_unheard(self, address):
+    def is_presumed_live(self, address):
         return False
 
     def suspect_address(self, address):
--- a/test/test_membership.py
+++ b/test/test_membership.py
@@ -290,12 +290,12 @@
         one = after.add(number)
         one.set_listed(listed)
         assert one.delegates("work", 4, 0.02) == listed[:4]
-        assert not one.is_unheard(f"10.0.0.{number}:1")
+        assert not one.is_presumed_live(f"10.0.0.{number}:1")
     first = after.members["10.0.0.0:1"]
     others = [address for address in listed if address != "10.0.0.0:1"]
-    assert all(map(first.is_unheard, others))
+    assert all(map(first.is_presumed_live, others))
     after.run(20)
-    assert not any(map(first.is_unheard, others))
+    assert not any(map(first.is_presumed_live, others))
     assert first.delegates("work", 4, 0.02) == listed[:4]
 
 
--- a/test/test_prepaid_start.py
+++ b/test/test_prepaid_start.py
@@ -40,7 +40,7 @@
     def ready_peers(self):
         return super().ready_peers() if self._heard else []
 
-    def is_unheard(self, address):
+    def is_presumed_live(self, address):
         listed = set(rendezvous("store", FLEET)[:9])
         return not self._heard and address in listed
 
