--- a/rowanport/membership/gossip.py
+++ b/rowanport/membership/gossip.py
@@ -95,5 +95,7 @@
             ]
             self._members.set_listed(routers)
             self._on_list(instances)
-            greetings = self._members.greetings()
-            await asyncio.gather(*(self._tell(*g) for g in greetings))
+            announcements = self._members.announcements()
+            await asyncio.gather(
+                *(self._tell(*pair) for pair in announcements)
+            )
--- a/rowanport/membership/members.py
+++ b/rowanport/membership/members.py
@@ -26,7 +26,7 @@
 DELEGATES_WELL_HEARD = 32
 # Listed routers that are told at once when they are not known yet: all of a
 # fleet as large as today's.
-GREETINGS = 8
+MAX_ANNOUNCEMENTS = 8
 # The kind of duty for the fleet that needs the store: following it and drawing
 # tokens.  Those that do the latter are listed as they do the former.
 STORE_DUTY = "store"
@@ -140,13 +140,13 @@
         message = self._message()
         return [(address, message) for address in self._targets()]
 
-    def greetings(self):
+    def announcements(self):
         """Return (address, Gossip) pairs for listed routers not known yet.
 
         A router that just started hears of the others a round earlier.
         """
         unknown = sorted(self._unknown_seeds())
-        count = min(GREETINGS, len(unknown))
+        count = min(MAX_ANNOUNCEMENTS, len(unknown))
         message = self._message()
         chosen = self._random.sample(unknown, count)
         return [(address, message) for address in chosen]
--- a/test/test_membership.py
+++ b/test/test_membership.py
@@ -90,12 +90,12 @@
     one = cell.members["10.0.0.1:1"]
     others = ["10.0.0.0:1", "10.0.0.2:1"]
     one.set_seeds(["10.0.0.1:1", *others])
-    greetings = one.greetings()
-    assert sorted(address for address, _message in greetings) == others
-    for address, message in greetings:
+    announcements = one.announcements()
+    assert sorted(address for address, _message in announcements) == others
+    for address, message in announcements:
         one.receive(cell.members[address].receive(message))
     assert len(one.live()) == 3
-    assert one.greetings() == []
+    assert one.announcements() == []
 
 
 @pytest.mark.parametrize("count", (2, 4, 8, 16, 35))
@@ -231,8 +231,8 @@
     one.set_listed([])
     assert [address for address, _message in one.tick()] == ["10.0.0.0:1"]
     one.set_listed(["10.0.0.2:1", "10.0.0.1:1"])
-    greeted = {address for address, _message in one.greetings()}
-    assert greeted == {"10.0.0.0:1", "10.0.0.2:1"}
+    targets = {address for address, _message in one.announcements()}
+    assert targets == {"10.0.0.0:1", "10.0.0.2:1"}
 
 
 def test_all_name_the_same_delegates_and_keep_them():
--- a/test/test_platform_edges.py
+++ b/test/test_platform_edges.py
@@ -56,7 +56,7 @@
     settings.seeds = ["127.0.0.1:1", platform.peers]
     platform.gateway.reload(settings)
     members = platform.gateway.members
-    asked = {address for address, _message in members.greetings()}
+    asked = {address for address, _message in members.announcements()}
     assert asked == {"127.0.0.1:1"}
 
 
