--- a/rowanport/router/callers.py
+++ b/rowanport/router/callers.py
@@ -16,7 +16,7 @@
 MODELS = "/v1/models"
 
 
-class CallerFront:
+class CallerServer:
     """Reads requests, has them run, answers errors.
 
     :param router: the Router
--- a/rowanport/router/daemon.py
+++ b/rowanport/router/daemon.py
@@ -41,9 +41,9 @@
 from ..web.client import Keepalive
 from ..wire import PeerServer
 from ..wire import Traffic
-from .callers import CallerFront
+from .callers import CallerServer
 from .chat import ChatRunner
-from .operators import OperatorFront
+from .operators import OperatorServer
 from .service import ServiceRunner
 
 LOG = structlog.get_logger(__name__)
@@ -169,8 +169,8 @@
         services = ServiceClient(self._upstream_http, timeout)
         self.chat = ChatRunner(self, self._engines)
         self.service = ServiceRunner(self, services)
-        self.callers = CallerFront(self, settings)
-        self._operators = OperatorFront(self, settings)
+        self.callers = CallerServer(self, settings)
+        self._operators = OperatorServer(self, settings)
 
     # Groups and facts
 
--- a/rowanport/router/operators.py
+++ b/rowanport/router/operators.py
@@ -6,7 +6,7 @@
 SHOWN_UNSETTLED = 20
 
 
-class OperatorFront:
+class OperatorServer:
     """Serves ``/healthz``, ``/readyz``, ``/metrics`` and ``/status``."""
 
     def __init__(self, router, settings):
--- a/test/test_router.py
+++ b/test/test_router.py
@@ -16,7 +16,7 @@
 from bench.deploy import MODEL
 from bench.deploy import SERVICE
 from bench.fleet import Fleet
-from rowanport.router.operators import OperatorFront
+from rowanport.router.operators import OperatorServer
 
 ORGANISATION = "house"
 BUDGET = f"{ORGANISATION}/main"
@@ -123,7 +123,7 @@
     router.ledger.untold = 4
     router.ledger.unsettled = 6
     router.keeper.unsettled = 3
-    status = OperatorFront(router, None).status()
+    status = OperatorServer(router, None).status()
     assert status["unsettled"] == 5
     assert status["untold"] == 4
 
--- a/test/test_stopping.py
+++ b/test/test_stopping.py
@@ -30,7 +30,7 @@
 from rowanport.gateway.stopping import Stopping
 from rowanport.gateway.views import LEARN_SECONDS
 from rowanport.metrics import Metrics
-from rowanport.router.callers import CallerFront
+from rowanport.router.callers import CallerServer
 
 GRACE = 8.0
 # Seconds between two requests of a caller that never pauses.
@@ -472,7 +472,7 @@
 
 
 class StoppingRouter:
-    """What a CallerFront sees of a router that stops."""
+    """What a CallerServer sees of a router that stops."""
 
     def __init__(self):
         self.stopping = False
@@ -481,7 +481,7 @@
 
 
 async def own_front(router):
-    """Return a CallerFront that listens, and a raw caller of it."""
+    """Return a CallerServer that listens, and a raw caller of it."""
     (port,) = free_ports(1)
     settings = types.SimpleNamespace(
         callers=types.SimpleNamespace(
@@ -493,7 +493,7 @@
         ),
         scheduling=types.SimpleNamespace(retry_after=1.0),
     )
-    front = CallerFront(router, settings)
+    front = CallerServer(router, settings)
     await front.start("127.0.0.1", port)
     caller = RawCaller(f"127.0.0.1:{port}")
     await caller.open()
