--- a/rowanport/scheduling/overload.py
+++ b/rowanport/scheduling/overload.py
@@ -52,7 +52,7 @@
         :param now: steady time
         :returns: None if an upstream should begin it in time
         """
-        self._note_rank(rank, now)
+        self._record_rank(rank, now)
         due = objective
         if rank > self._most_urgent:
             due *= LESS_URGENT_SHARE
@@ -61,7 +61,7 @@
             return None
         return LateStart(wait, due, now + wait - RETURN_SHARE * due)
 
-    def _note_rank(self, rank, now):
+    def _record_rank(self, rank, now):
         lapsed = self._most_urgent is None or now > self._until
         if lapsed or rank <= self._most_urgent:
             self._most_urgent = rank
--- a/test/test_engine_load.py
+++ b/test/test_engine_load.py
@@ -71,7 +71,7 @@
     # Long prompts are the more urgent ones here, and are due sooner.
     outcomes = play("few")
     assert refused(outcomes, LONG) <= refused(outcomes, SHORT) + 0.05
-    without = play_without("few", Overload, "_note_rank", _forget_ranks)
+    without = play_without("few", Overload, "_record_rank", _forget_ranks)
     gap = refused(without, LONG) - refused(without, SHORT)
     assert refused(outcomes, LONG) - refused(outcomes, SHORT) < gap
 
