--- a/rowanport/router/chat.py
+++ b/rowanport/router/chat.py
@@ -70,7 +70,7 @@
             job.call.request,
             job.call.budget,
             body,
-            job.patience,
+            job.stall_policy,
         )
         if stream.leaving:
             self._router.spread_leaving(upstream.address)
--- a/rowanport/router/runner.py
+++ b/rowanport/router/runner.py
@@ -17,7 +17,7 @@
 from ..hashing import new_id
 from ..tasks import TaskSet
 from ..web.patience import NO_PATIENCE
-from .patience import RunPatience
+from .stall_policy import RunStallPolicy
 
 CLOSE_TRIES = 20
 CLOSE_PAUSE = 0.5
@@ -35,7 +35,7 @@
     :ivar entry: its OpenReservation, if tokens are set aside
     :ivar next_entry: the OpenReservation of a run that may follow, or None
     :ivar retry_taken: whether the allowance of a run that may follow is taken
-    :ivar patience: the Patience asked when its upstream falls silent
+    :ivar stall_policy: the Patience asked whether to abandon a stalled run
     :ivar run: run id as the upstream names it, once known
     :ivar claim: run id under which it was claimed, if it was
     :ivar sent: whether a byte of the answer went out
@@ -53,7 +53,7 @@
         "entry",
         "next_entry",
         "retry_taken",
-        "patience",
+        "stall_policy",
         "run",
         "claim",
         "sent",
@@ -71,7 +71,7 @@
         self.entry = None
         self.next_entry = None
         self.retry_taken = False
-        self.patience = NO_PATIENCE
+        self.stall_policy = NO_PATIENCE
         self.run = ""
         self.claim = ""
         self.sent = False
@@ -148,7 +148,7 @@
         group = self._router.group(job.decision.group)
         group.retries.request()
         tried = set()
-        job.patience = RunPatience(self._router, job, group, tried)
+        job.stall_policy = RunStallPolicy(self._router, job, group, tried)
         while True:
             try:
                 return await self._run_once(job, group, tried, responder)
--- a/rowanport/router/service.py
+++ b/rowanport/router/service.py
@@ -60,7 +60,7 @@
             target.path,
             target.body,
             target.kind,
-            job.patience,
+            job.stall_policy,
         )
         headers = answer_headers(job.call, Outcome.DONE)
         job.sent = True
--- a/rowanport/router/patience.py
+++ b/rowanport/router/stall_policy.py
@@ -4,7 +4,7 @@
 from ..web.patience import Patience
 
 
-class RunPatience(Patience):
+class RunStallPolicy(Patience):
     """Keeps a silent run until another one is sure to take its place.
 
     A run that is let go before that is lost to its caller, though it may only
--- a/rowanport/upstreams/engine.py
+++ b/rowanport/upstreams/engine.py
@@ -128,13 +128,13 @@
         self._timeout = timeout
 
     async def complete(
-        self, address, request, budget, body, patience=NO_PATIENCE
+        self, address, request, budget, body, stall_policy=NO_PATIENCE
     ):
         """Start a request and return its EngineStream.
 
         :param request: request id; an engine that knows it attaches the
             caller to the run it has
-        :param patience: the Patience asked when it falls silent
+        :param stall_policy: the Patience asked when the answer stalls
         :raises UpstreamError: ``started`` says if it may have run
         """
         headers = [
@@ -149,7 +149,7 @@
             json.dumps(body).encode(),
             headers=headers,
             timeout=self._timeout,
-            patience=patience,
+            patience=stall_policy,
         )
         return await self._open(answer, address, request)
 
--- a/rowanport/upstreams/service.py
+++ b/rowanport/upstreams/service.py
@@ -24,12 +24,14 @@
         self._client = client
         self._timeout = timeout
 
-    async def call(self, address, request, method, path, body, kind, patience):
+    async def call(
+        self, address, request, method, path, body, kind, stall_policy
+    ):
         """Send a request and return the ServiceReply.
 
         :param request: request id, passed on so that a service can refuse
             to do the same twice
-        :param patience: the Patience asked when it falls silent
+        :param stall_policy: the Patience asked when the answer stalls
         :raises UpstreamError: ``started`` says if it may have run
         """
         headers = [
@@ -44,7 +46,7 @@
             body,
             headers,
             self._timeout,
-            patience=patience,
+            patience=stall_policy,
         )
         data = await answer.read()
         if answer.headers.get(REQUEST_HEADER, request) != request:
--- a/test/test_patience.py
+++ b/test/test_stall_policy.py
@@ -5,16 +5,16 @@
 
 from rowanport.errors import ErrorKind
 from rowanport.errors import RequestError
-from rowanport.router.patience import RunPatience
 from rowanport.router.runner import Job
 from rowanport.router.runner import Runner
+from rowanport.router.stall_policy import RunStallPolicy
 from rowanport.scheduling import RetryBudget
 
 COST = 100
 
 
 class SilentRun:
-    """A job whose upstream is silent, and what its patience asks.
+    """A job whose upstream is silent, and what its stall policy asks for.
 
     :ivar other: the upstream that another run may go to, or None
     """
@@ -27,10 +27,10 @@
         self.router.clock.wall.return_value = 10.0
         self.router.ledger.reserve = mock.AsyncMock(return_value="entry")
         self.group = mock.MagicMock(retries=RetryBudget(0.1))
-        self.patience = RunPatience(self.router, self.job, self.group, {"a"})
+        self.policy = RunStallPolicy(self.router, self.job, self.group, {"a"})
 
     def gives_up(self):
-        return asyncio.run(self.patience.give_up())
+        return asyncio.run(self.policy.give_up())
 
     def use_allowance(self):
         while self.group.retries.retry():
