--- a/bench/baseline_fifo.py
+++ b/bench/baseline_fifo.py
@@ -24,14 +24,14 @@
         self.size += 1
 
     def leave(self, ticket):
-        if not ticket.left:
-            ticket.left = True
+        if not ticket.removed:
+            ticket.removed = True
             self.size -= 1
 
     def next(self):
         while self._queue:
             ticket = self._queue.popleft()
-            if not ticket.left:
+            if not ticket.removed:
                 self.leave(ticket)
                 return ticket
         return None
--- a/rowanport/router/runner.py
+++ b/rowanport/router/runner.py
@@ -137,16 +137,16 @@
                 "this key was made for an earlier try, which may have run",
             )
         limits = self._router.limits
-        limits.enter(call.organisation, self._router.clock.steady())
+        limits.acquire(call.organisation, self._router.clock.steady())
         try:
             await self._run_attempts(job, responder)
         finally:
             self._release_next(job)
-            limits.leave(call.organisation)
+            limits.release(call.organisation)
 
     async def _run_attempts(self, job, responder):
         group = self._router.group(job.decision.group)
-        group.retries.request()
+        group.retries.record_request()
         tried = set()
         job.stall_policy = RunStallPolicy(self._router, job, group, tried)
         while True:
@@ -164,7 +164,7 @@
         if error.started and not job.call.repeatable:
             return False
         taken, job.retry_taken = job.retry_taken, False
-        return taken or group.retries.retry()
+        return taken or group.retries.acquire()
 
     async def _run_once(self, job, group, tried, responder):
         await self._reserve(job)
--- a/rowanport/router/stall_policy.py
+++ b/rowanport/router/stall_policy.py
@@ -40,7 +40,7 @@
             return False
         # Tokens are set aside last but one: without an allowance they would
         # lie idle until the silent run ends.
-        if not job.retry_taken and not self._group.retries.allows:
+        if not job.retry_taken and not self._group.retries.allows_retry:
             return False
         return await self._take_tokens() and self._take_allowance()
 
@@ -60,5 +60,5 @@
     def _take_allowance(self):
         job = self._job
         if not job.retry_taken:
-            job.retry_taken = self._group.retries.retry()
+            job.retry_taken = self._group.retries.acquire()
         return job.retry_taken
--- a/rowanport/scheduling/__init__.py
+++ b/rowanport/scheduling/__init__.py
@@ -1,4 +1,4 @@
-"""Which request runs next: queues, fairness, limits, overload."""
+"""Request queues, fairness between organisations, limits and overload."""
 
 from .lane import Lane
 from .lane import Ticket
--- a/rowanport/scheduling/group.py
+++ b/rowanport/scheduling/group.py
@@ -1,4 +1,4 @@
-"""A lane and a pool together: who runs next, and where."""
+"""Scheduling for one upstream group: queueing and upstream selection."""
 
 import asyncio
 
@@ -10,8 +10,13 @@
 from .limits import RetryBudget
 
 
-class _Turn:
-    """A waiting request: its ticket, preferences and promise."""
+class _PendingRequest:
+    """A queued request: how to select its upstream, and its result.
+
+    :ivar key: affinity key
+    :ivar avoid: addresses of upstreams that already failed the request
+    :ivar future: set to the selected Upstream or to a RequestError
+    """
 
     __slots__ = ("key", "avoid", "future")
 
@@ -35,17 +40,18 @@
         self.retries = RetryBudget(settings.retry_ratio)
 
     async def acquire(self, call, decision, key, cost, size, avoid=()):
-        """Wait for the turn of a request and return its Upstream.
-
-        :param key: what it should be near, such as a prompt prefix
-        :param cost: worst case in tokens
-        :param size: most tokens of its answer
-        :param avoid: addresses that already failed it
-        :raises RequestError: it is refused, at once where possible
+        """Wait until a request may be sent and return its Upstream.
+
+        :param key: affinity key, such as a prompt prefix
+        :param cost: worst-case cost in tokens
+        :param size: maximum tokens of the answer
+        :param avoid: addresses of upstreams that already failed the request
+        :raises RequestError: the request is refused, on arrival if its
+            deadline cannot be met, else while it is queued
         """
         if not self.pool.any_usable():
-            raise RequestError(ErrorKind.NO_UPSTREAM, "no upstream is there")
-        turn = _Turn(key, avoid)
+            raise RequestError(ErrorKind.NO_UPSTREAM, "no upstream available")
+        pending = _PendingRequest(key, avoid)
         ticket = Ticket(
             decision.priority,
             call.organisation.name,
@@ -53,54 +59,60 @@
             call.deadline,
             cost,
             size,
-            turn,
-            lambda error: _fail(turn, error),
+            pending,
+            lambda error: _fail(pending, error),
         )
         self.lane.enter(ticket, self.pool.slots())
         self.pump()
-        left = max(0.0, call.deadline - self._clock.wall())
+        remaining = max(0.0, call.deadline - self._clock.wall())
         try:
-            await asyncio.wait({turn.future}, timeout=left)
+            await asyncio.wait({pending.future}, timeout=remaining)
         except asyncio.CancelledError:
-            self._withdraw(ticket, turn)
+            self._withdraw(ticket, pending)
             raise
-        if not turn.future.done():
+        if not pending.future.done():
             self.lane.leave(ticket)
-            raise RequestError(ErrorKind.DEADLINE_PASSED, "it waited too long")
-        return turn.future.result()
+            raise RequestError(
+                ErrorKind.DEADLINE_PASSED, "deadline passed while queued"
+            )
+        return pending.future.result()
 
-    def _withdraw(self, ticket, turn):
-        """Take a ticket out of the lane, or give back an unused turn."""
+    def _withdraw(self, ticket, pending):
+        """Dequeue a cancelled request, or release the slot it was given."""
         self.lane.leave(ticket)
-        if not turn.future.done():
-            turn.future.cancel()
-        elif turn.future.exception() is None:
-            self.release(turn.future.result(), 0, 0.0, failed=False)
+        if not pending.future.done():
+            pending.future.cancel()
+        elif pending.future.exception() is None:
+            self.release(pending.future.result(), 0, 0.0, failed=False)
 
     def pump(self):
-        """Hand out turns while upstreams have room."""
+        """Dispatch queued requests while upstreams have free slots."""
         while self.lane.size and self.pool.has_room():
             ticket = self.lane.next()
             if ticket is None:
                 return
-            turn = ticket.grant
-            upstream = self.pool.choose(turn.key, turn.avoid)
+            pending = ticket.grant
+            upstream = self.pool.choose(pending.key, pending.avoid)
             if upstream is None:
-                upstream = self.pool.choose(turn.key)
-            if turn.future.done():
+                upstream = self.pool.choose(pending.key)
+            if pending.future.done():
                 continue
             if upstream is None:
-                error = RequestError(ErrorKind.NO_UPSTREAM, "none is left")
-                _fail(turn, error)
+                error = RequestError(
+                    ErrorKind.NO_UPSTREAM, "no upstream available"
+                )
+                _fail(pending, error)
                 continue
             self.pool.started(upstream)
-            turn.future.set_result(upstream)
+            pending.future.set_result(upstream)
 
     def release(self, upstream, size, seconds, failed):
-        """Count a request out and hand out the next turn.
+        """Free the slot of a request and dispatch the next one.
 
-        :param size: most tokens of its answer; 0 if it did not run
-        :param seconds: how long it ran
+        :param size: maximum tokens of the answer; 0 if the request did not
+            run
+        :param seconds: run time
+        :param failed: whether the failure counts against the upstream
         """
         self.pool.ended(upstream, failed)
         if seconds and not failed:
@@ -108,6 +120,6 @@
         self.pump()
 
 
-def _fail(turn, error):
-    if not turn.future.done():
-        turn.future.set_exception(error)
+def _fail(pending, error):
+    if not pending.future.done():
+        pending.future.set_exception(error)
--- a/rowanport/scheduling/lane.py
+++ b/rowanport/scheduling/lane.py
@@ -1,8 +1,8 @@
-"""The queue before one upstream group.
+"""The queue in front of one upstream group.
 
-Order: priority first; within it the organisation that was served the
-fewest tokens for its weight; within that the earliest deadline.  The lane
-is bounded, and what cannot make its deadline is refused when it arrives.
+Tickets are ordered by priority, then by organisation, the one that was served
+the fewest tokens for its weight first, then by deadline.  The lane is bounded,
+and a request that cannot meet its deadline is refused on arrival.
 """
 
 import heapq
@@ -15,8 +15,9 @@
 
 SMOOTHING = 0.02
 ARRIVAL_HALF_LIFE = 1.0
-# However much urgent work comes, less urgent work is thought to get this.
-LEAST_SHARE = 0.02
+# Share of the slots that estimates leave to less urgent requests, however
+# much urgent work arrives.
+MIN_SHARE = 0.02
 
 
 class Ticket:
@@ -24,13 +25,16 @@
 
     :ivar priority: 0 is served first
     :ivar organisation: name
-    :ivar weight: share among organisations
+    :ivar weight: fair share relative to other organisations
     :ivar deadline: wall time
-    :ivar cost: worst case in tokens, which fairness counts
-    :ivar size: most tokens of its answer, which take the time
-    :ivar grant: function called with an upstream when it is its turn
-    :ivar refuse: function called with a RequestError otherwise
-    :ivar work: seconds that it should need in a slot
+    :ivar cost: worst-case cost in tokens, by which fairness is measured
+    :ivar size: maximum tokens of the answer, by which run time is estimated
+    :ivar grant: what the caller needs to dispatch the request; the lane does
+        not use it
+    :ivar refuse: function called with a RequestError if the ticket is refused
+        while it is queued
+    :ivar work: estimated run time in seconds
+    :ivar removed: whether it left the lane, dispatched or not
     """
 
     __slots__ = (
@@ -43,7 +47,7 @@
         "grant",
         "refuse",
         "work",
-        "left",
+        "removed",
     )
 
     def __init__(
@@ -66,14 +70,15 @@
         self.grant = grant
         self.refuse = refuse
         self.work = 0.0
-        self.left = False
+        self.removed = False
 
 
-class _Class:
-    """All waiting tickets of one priority, by organisation.
+class _PriorityLevel:
+    """The queued tickets of one priority.
 
-    :ivar work: seconds in a slot that they need together
-    :ivar arrivals: the same of new tickets, a second
+    :ivar queues: heap of (deadline, sequence number, Ticket) by organisation
+    :ivar work: estimated run time of all queued tickets in seconds
+    :ivar arrivals: rate of the run time that arrives, in seconds a second
     """
 
     def __init__(self):
@@ -81,21 +86,21 @@
         self.work = 0.0
         self.arrivals = DecayingRate(ARRIVAL_HALF_LIFE)
 
-    def push(self, ticket, order):
+    def push(self, ticket, sequence):
         queue = self.queues.setdefault(ticket.organisation, [])
-        heapq.heappush(queue, (ticket.deadline, order, ticket))
+        heapq.heappush(queue, (ticket.deadline, sequence, ticket))
         self.work += ticket.work
 
     def tickets(self):
-        """Return all that wait, the earliest deadline first."""
+        """Return the queued tickets, the earliest deadline first."""
         entries = [entry for queue in self.queues.values() for entry in queue]
         entries.sort(key=lambda entry: entry[:2])
-        return [entry[2] for entry in entries if not entry[2].left]
+        return [entry[2] for entry in entries if not entry[2].removed]
 
     def first(self, organisation):
         """Return the first ticket of an organisation, or None."""
         queue = self.queues.get(organisation, [])
-        while queue and queue[0][2].left:
+        while queue and queue[0][2].removed:
             heapq.heappop(queue)
         if not queue:
             self.queues.pop(organisation, None)
@@ -110,18 +115,18 @@
 class Lane:
     """Orders the requests of one group on one router.
 
-    :param limit: most waiting requests
+    :param limit: maximum number of queued requests
     :param clock: a Clock
     """
 
     def __init__(self, limit, clock):
         self._limit = limit
         self._clock = clock
-        self._classes = {}
+        self._levels = {}
         self._served = {}
-        self._floor = 0.0
-        self._order = itertools.count()
-        self._seconds = LinearEstimate(SMOOTHING)
+        self._served_floor = 0.0
+        self._sequence = itertools.count()
+        self._service_time = LinearEstimate(SMOOTHING)
         self.size = 0
 
     # Arrivals
@@ -129,89 +134,94 @@
     def enter(self, ticket, slots):
         """Queue a ticket.
 
-        :param slots: requests that the group runs at once for this router
-        :raises RequestError: the lane is full, or the deadline cannot be
-            made
+        :param slots: number of requests that the group runs concurrently for
+            this router
+        :raises RequestError: the lane is full, or the deadline cannot be met
         """
         now = self._clock.wall()
         wait = self.expected_wait(ticket.priority, slots)
         if now + wait + self.expected_service(ticket.size) > ticket.deadline:
             raise RequestError(
-                ErrorKind.OVERLOADED, "it would not be done by its deadline"
+                ErrorKind.OVERLOADED, "the deadline cannot be met"
             )
         if self.size >= self._limit and not self._evict(ticket):
             raise RequestError(ErrorKind.OVERLOADED, "the queue is full")
-        waiting = self._classes.setdefault(ticket.priority, _Class())
-        if ticket.organisation not in waiting.queues:
-            # An organisation that was away starts level with the others.
+        level = self._levels.setdefault(ticket.priority, _PriorityLevel())
+        if ticket.organisation not in level.queues:
+            # An organisation that was idle gets no credit for that time:
+            # it starts level with the others.
             served = self._served.get(ticket.organisation, 0.0)
-            self._served[ticket.organisation] = max(served, self._floor)
+            self._served[ticket.organisation] = max(served, self._served_floor)
         ticket.work = self.expected_service(ticket.size)
-        waiting.push(ticket, next(self._order))
-        waiting.arrivals.add(ticket.work, now)
+        level.push(ticket, next(self._sequence))
+        level.arrivals.add(ticket.work, now)
         self.size += 1
 
     def expected_wait(self, priority, slots):
-        """Return how long a new request of a priority would wait.
+        """Return the estimated queueing time of a new request in seconds.
 
-        What waits at its priority or before it is worked off by what is
-        left of the slots once the more urgent work that keeps coming has
-        had its share.
+        All work queued at this or a more urgent priority runs first, in the
+        slots that newly arriving work of more urgent priorities leaves free.
         """
         ahead = more_urgent = 0.0
         now = self._clock.wall()
-        for level, waiting in self._classes.items():
-            if level <= priority:
-                ahead += waiting.work
-            if level < priority:
-                more_urgent += waiting.arrivals.rate(now)
+        for number, level in self._levels.items():
+            if number <= priority:
+                ahead += level.work
+            if number < priority:
+                more_urgent += level.arrivals.rate(now)
         if not ahead:
             return 0.0
-        left = max(slots - more_urgent, LEAST_SHARE * slots)
-        return ahead / max(left, LEAST_SHARE)
+        free = max(slots - more_urgent, MIN_SHARE * slots)
+        return ahead / max(free, MIN_SHARE)
 
     def expected_service(self, size):
-        """Return how long a request of a size would run."""
-        return self._seconds.at(size)
+        """Return the estimated run time of a request in seconds."""
+        return self._service_time.at(size)
 
     def shed(self, slots):
-        """Refuse what cannot make its deadline any more, at once.
+        """Refuse queued tickets that can no longer meet their deadlines.
 
-        More urgent work that came since may have taken its turn away.
+        Urgent requests that arrived later may have delayed them.
         """
         now = self._clock.wall()
         ahead = more_urgent = 0.0
-        for level in sorted(self._classes):
-            waiting = self._classes[level]
-            left = max(slots - more_urgent, LEAST_SHARE * slots, LEAST_SHARE)
-            for ticket in waiting.tickets():
-                if now + ahead / left + ticket.work <= ticket.deadline:
+        for number in sorted(self._levels):
+            level = self._levels[number]
+            free = max(slots - more_urgent, MIN_SHARE * slots, MIN_SHARE)
+            for ticket in level.tickets():
+                if now + ahead / free + ticket.work <= ticket.deadline:
                     ahead += ticket.work
                     continue
                 self.leave(ticket)
                 ticket.refuse(
                     RequestError(
                         ErrorKind.OVERLOADED,
-                        "it would not be done by its deadline",
+                        "the deadline can no longer be met",
                     )
                 )
-            more_urgent += waiting.arrivals.rate(now)
+            more_urgent += level.arrivals.rate(now)
 
     def _evict(self, newcomer):
-        """Refuse a waiting ticket of a lower class than the newcomer's."""
-        for priority in sorted(self._classes, reverse=True):
+        """Refuse a queued ticket that is less urgent than a new one.
+
+        :returns: whether there was one
+        """
+        for priority in sorted(self._levels, reverse=True):
             if priority <= newcomer.priority:
                 return False
-            waiting = self._classes[priority]
+            level = self._levels[priority]
             for organisation in sorted(
-                waiting.queues, key=lambda name: -self._served.get(name, 0)
+                level.queues, key=lambda name: -self._served.get(name, 0)
             ):
-                ticket = waiting.first(organisation)
+                ticket = level.first(organisation)
                 if ticket is not None:
                     self.leave(ticket)
                     ticket.refuse(
                         RequestError(
-                            ErrorKind.OVERLOADED, "more urgent work came"
+                            ErrorKind.OVERLOADED,
+                            "evicted from a full queue by a more urgent"
+                            " request",
                         )
                     )
                     return True
@@ -220,50 +230,54 @@
     # Departures
 
     def leave(self, ticket):
-        """Take a ticket out, if it still waits."""
-        if not ticket.left:
-            ticket.left = True
+        """Remove a ticket, if it is still queued."""
+        if not ticket.removed:
+            ticket.removed = True
             self.size -= 1
-            self._classes[ticket.priority].work -= ticket.work
+            self._levels[ticket.priority].work -= ticket.work
 
     def next(self):
-        """Take out and return the ticket whose turn it is, or None.
+        """Remove and return the ticket to dispatch next, or None.
 
-        Tickets whose deadline cannot be made any more are refused.
+        Tickets that can no longer meet their deadlines are refused.
         """
-        for priority in sorted(self._classes):
-            ticket = self._next_of(self._classes[priority])
+        for priority in sorted(self._levels):
+            ticket = self._next_of(self._levels[priority])
             if ticket is not None:
                 return ticket
         return None
 
-    def _next_of(self, waiting):
+    def _next_of(self, level):
         now = self._clock.wall()
         while True:
             candidates = [
                 (self._served.get(name, 0.0), name)
-                for name in list(waiting.queues)
-                if waiting.first(name) is not None
+                for name in list(level.queues)
+                if level.first(name) is not None
             ]
             if not candidates:
                 return None
             served, name = min(candidates)
-            ticket = waiting.first(name)
-            waiting.pop(name)
+            ticket = level.first(name)
+            level.pop(name)
             self.leave(ticket)
             needed = self.expected_service(ticket.size)
             if now + needed > ticket.deadline:
                 ticket.refuse(
                     RequestError(
-                        ErrorKind.DEADLINE_PASSED, "it waited too long"
+                        ErrorKind.DEADLINE_PASSED,
+                        "the deadline can no longer be met",
                     )
                 )
                 continue
-            self._floor = max(self._floor, served)
+            self._served_floor = max(self._served_floor, served)
             self._served[name] = served + ticket.cost / max(1, ticket.weight)
             return ticket
 
     def finished(self, size, seconds):
-        """Learn from a request that ran: its size in tokens and time."""
+        """Update the run time estimate with a finished request.
+
+        :param size: maximum tokens of its answer, as in its Ticket
+        """
         if size:
-            self._seconds.add(size, seconds)
+            self._service_time.add(size, seconds)
--- a/test/test_scheduling.py
+++ b/test/test_scheduling.py
@@ -174,22 +174,22 @@
 def test_rate_and_concurrency_of_an_organisation_are_bounded():
     limits = OrganisationLimits()
     record = OrganisationRecord("a", b"", b"", 1, 2, 1.0)
-    limits.enter(record, 0.0)
-    limits.enter(record, 0.0)
+    limits.acquire(record, 0.0)
+    limits.acquire(record, 0.0)
     with pytest.raises(RequestError):
-        limits.enter(record, 0.0)
-    limits.leave(record)
+        limits.acquire(record, 0.0)
+    limits.release(record)
     with pytest.raises(RequestError):
-        limits.enter(record, 0.5)
-    limits.enter(record, 1.5)
+        limits.acquire(record, 0.5)
+    limits.acquire(record, 1.5)
 
 
 def test_retries_are_bounded_by_requests():
     budget = RetryBudget(0.1)
-    assert sum(budget.retry() for _number in range(50)) == 10
+    assert sum(budget.acquire() for _number in range(50)) == 10
     for _number in range(20):
-        budget.request()
-    assert sum(budget.retry() for _number in range(50)) == 2
+        budget.record_request()
+    assert sum(budget.acquire() for _number in range(50)) == 2
 
 
 # Choice
--- a/test/test_silence_races.py
+++ b/test/test_silence_races.py
@@ -358,7 +358,7 @@
     router.clock = LoopClock(loop)
     router.pauses.count.return_value = 0
     group = router.group.return_value
-    group.retries.retry.return_value = allowed
+    group.retries.acquire.return_value = allowed
     upstream = mock.MagicMock(address="10.9.0.9:80")
     group.acquire = mock.AsyncMock(return_value=upstream)
     return router
--- a/test/test_stall_policy.py
+++ b/test/test_stall_policy.py
@@ -33,7 +33,7 @@
         return asyncio.run(self.policy.give_up())
 
     def use_allowance(self):
-        while self.group.retries.retry():
+        while self.group.retries.acquire():
             pass
 
 
