--- a/rowanport/gateway/limits.py
+++ b/rowanport/gateway/limits.py
@@ -9,11 +9,11 @@
 from ..hashing import rendezvous
 from ..incarnation import address_of
 from ..membership.members import LEAVING
-from ..ratelimits import chunk
-from ..ratelimits import NamedLimits
-from ..ratelimits import PermitBook
-from ..ratelimits import Purse
-from ..ratelimits import read_limit
+from ..ratelimits import HeldPermits
+from ..ratelimits import parse_limit
+from ..ratelimits import permit_batch_size
+from ..ratelimits import PermitGranter
+from ..ratelimits import UpstreamLimits
 from ..schema.messages import LimitNews
 from ..schema.messages import PermitAsk
 from ..schema.messages import Permits
@@ -49,10 +49,10 @@
         self._address = address
         self._clock = clock
         self._metrics = metrics
-        self._named = NamedLimits()
-        self._book = PermitBook()
-        self._own_share = PermitBook()
-        self._purse = Purse()
+        self._named = UpstreamLimits()
+        self._book = PermitGranter()
+        self._own_share = PermitGranter()
+        self._purse = HeldPermits()
         self._away_until = {}
         self._unreadable = {}
 
@@ -67,11 +67,11 @@
         rate = None
         if text is not None:
             try:
-                rate = read_limit(text)
+                rate = parse_limit(text)
             except MessageError as error:
                 return self._note_unreadable(run, text, error)
         now = self._clock.steady()
-        if self._named.note(run.name, rate, now, now):
+        if self._named.update(run.name, rate, now, now):
             self._note_change(run.name, rate, None)
             row = self._named.row(run.name, now)
             news = LimitNews([row], self._address)
@@ -99,7 +99,7 @@
         :param names: names of upstreams' runs
         """
         for part in (self._named, self._book, self._own_share, self._purse):
-            part.keep(names)
+            part.retain(names)
         self._unreadable = {
             name: text
             for name, text in self._unreadable.items()
@@ -137,7 +137,7 @@
     def _open_at(self, state, now):
         if self._rate(state) is None:
             return now
-        return self._purse.open_at(state.record.run.name, now)
+        return self._purse.available_at(state.record.run.name, now)
 
     async def take(self, state):
         """Take a permit to send to an upstream, if it takes one now.
@@ -148,10 +148,10 @@
         if rate is None:
             return True
         name = state.record.run.name
-        if self._purse.take(name, self._clock.steady()):
+        if self._purse.acquire(name, self._clock.steady()):
             return True
         await self._ask(name, rate)
-        taken = self._purse.take(name, self._clock.steady())
+        taken = self._purse.acquire(name, self._clock.steady())
         outcome = "granted" if taken else "denied"
         self._metrics.permits.inc({"outcome": outcome})
         return taken
@@ -162,7 +162,7 @@
         """Ask for permits; what comes of it is in the purse."""
         now = self._clock.steady()
         routers = self._routers(now)
-        wanted = chunk(rate, len(routers))
+        wanted = permit_batch_size(rate, len(routers))
         granter = rendezvous(name, routers)[0]
         if granter == self._address:
             grant = self._book.grant(name, rate, wanted, now)
@@ -213,7 +213,7 @@
 
     def rows(self):
         """Return LimitRows for a peer."""
-        return self._named.some_rows(self._clock.steady())
+        return self._named.next_rows(self._clock.steady())
 
     def hear_news(self, news):
         """Take in LimitNews."""
--- a/rowanport/ratelimits/__init__.py
+++ b/rowanport/ratelimits/__init__.py
@@ -3,16 +3,16 @@
 Nothing here waits or sends: the gateway tells what it hears, and asks.
 """
 
-from .named import NamedLimits
-from .named import read_limit
-from .permits import chunk
-from .permits import PermitBook
-from .permits import Purse
+from .limits import parse_limit
+from .limits import UpstreamLimits
+from .permits import HeldPermits
+from .permits import permit_batch_size
+from .permits import PermitGranter
 
 __all__ = [
-    "chunk",
-    "NamedLimits",
-    "PermitBook",
-    "Purse",
-    "read_limit",
+    "HeldPermits",
+    "parse_limit",
+    "permit_batch_size",
+    "PermitGranter",
+    "UpstreamLimits",
 ]
--- a/rowanport/ratelimits/named.py
+++ b/rowanport/ratelimits/limits.py
@@ -19,7 +19,7 @@
 _DECIMAL = re.compile(r"[0-9]{1,12}(\.[0-9]{1,12})?")
 
 
-def read_limit(text):
+def parse_limit(text):
     """Return the requests a second that an upstream's text names.
 
     :raises MessageError: it is no decimal number, negative or absurd
@@ -29,7 +29,7 @@
     return float(text)
 
 
-class NamedLimit:
+class UpstreamLimit:
     """What an upstream's run last said of its limit.
 
     :ivar rate: requests a second, None if it named none
@@ -45,7 +45,7 @@
         self.changed_at = changed_at
 
 
-class NamedLimits:
+class UpstreamLimits:
     """All NamedLimits by the name of the upstream's run.
 
     The last answer decides, whichever router got it.
@@ -65,7 +65,7 @@
         limit = self._limits.get(name)
         return limit.rate if limit else None
 
-    def note(self, name, rate, heard_at, now):
+    def update(self, name, rate, heard_at, now):
         """Take in what an upstream's run said.
 
         :param rate: requests a second, None if it named none
@@ -76,7 +76,7 @@
         if limit is None:
             if rate is None:
                 return False
-            self._limits[name] = NamedLimit(rate, heard_at, now)
+            self._limits[name] = UpstreamLimit(rate, heard_at, now)
             return True
         if heard_at <= limit.heard_at:
             return False
@@ -95,7 +95,7 @@
         rate = NO_RATE if limit.rate is None else limit.rate
         return LimitRow(name, rate, max(0.0, now - limit.heard_at))
 
-    def some_rows(self, now):
+    def next_rows(self, now):
         """Return some LimitRows; asked again and again, all of them."""
         names = [
             name
@@ -115,12 +115,12 @@
         if not row.rate <= LARGEST:
             return False
         if row.rate >= 0:
-            return self.note(row.upstream, row.rate, heard_at, now)
+            return self.update(row.upstream, row.rate, heard_at, now)
         limit = self._limits.get(row.upstream)
         if limit is None or heard_at < limit.heard_at + END_SECONDS:
             return False
-        return self.note(row.upstream, None, heard_at, now)
+        return self.update(row.upstream, None, heard_at, now)
 
-    def keep(self, names):
+    def retain(self, names):
         """Forget all runs but some."""
         self._limits = {k: v for k, v in self._limits.items() if k in names}
--- a/rowanport/ratelimits/permits.py
+++ b/rowanport/ratelimits/permits.py
@@ -31,7 +31,7 @@
 ASKS_HALF_LIFE = 0.5
 
 
-def chunk(rate, routers):
+def permit_batch_size(rate, routers):
     """Return how many permits to ask for at once.
 
     :param rate: the upstream's limit in requests a second
@@ -57,7 +57,7 @@
         self._permits = 1.0
         self._at = now
 
-    def take(self, wanted, rate, now):
+    def acquire(self, wanted, rate, now):
         """Return how many of some permits are granted.
 
         :param rate: permits a second from now on
@@ -89,7 +89,7 @@
         return 1.0 + BURST_SECONDS * self._rate
 
 
-class PermitBook:
+class PermitGranter:
     """The TokenBuckets from which a router grants, by name of the run."""
 
     def __init__(self):
@@ -104,10 +104,10 @@
         bucket = self._buckets.get(name)
         if bucket is None:
             bucket = self._buckets[name] = TokenBucket(rate, now)
-        count = bucket.take(wanted, rate, now)
+        count = bucket.acquire(wanted, rate, now)
         return count, bucket.next_at()
 
-    def keep(self, names):
+    def retain(self, names):
         """Forget all runs but some."""
         self._buckets = {k: b for k, b in self._buckets.items() if k in names}
 
@@ -128,7 +128,7 @@
         self.denied_until = 0.0
 
 
-class Purse:
+class HeldPermits:
     """The permits that a router was granted, by name of the run."""
 
     def __init__(self):
@@ -146,7 +146,7 @@
         held.count = self._count(held, now) + count
         held.until = now + HOLD_SECONDS
 
-    def take(self, name, now):
+    def acquire(self, name, now):
         """Use a permit; return whether there was one."""
         held = self._held.get(name)
         if held is None or not self._count(held, now):
@@ -154,14 +154,14 @@
         held.count -= 1
         return True
 
-    def open_at(self, name, now):
+    def available_at(self, name, now):
         """Return the steady time from which on a permit may be had."""
         held = self._held.get(name)
         if held is None or self._count(held, now):
             return now
         return max(now, held.denied_until)
 
-    def keep(self, names):
+    def retain(self, names):
         """Forget all runs but some."""
         self._held = {k: h for k, h in self._held.items() if k in names}
 
--- a/test/test_ratelimits.py
+++ b/test/test_ratelimits.py
@@ -3,15 +3,15 @@
 import pytest
 
 from rowanport.errors import MessageError
-from rowanport.ratelimits import chunk
-from rowanport.ratelimits import NamedLimits
-from rowanport.ratelimits import PermitBook
-from rowanport.ratelimits import Purse
-from rowanport.ratelimits import read_limit
-from rowanport.ratelimits.named import END_SECONDS
-from rowanport.ratelimits.named import LARGEST
-from rowanport.ratelimits.named import ROWS_LIMIT
-from rowanport.ratelimits.named import TELL_END_SECONDS
+from rowanport.ratelimits import HeldPermits
+from rowanport.ratelimits import parse_limit
+from rowanport.ratelimits import permit_batch_size
+from rowanport.ratelimits import PermitGranter
+from rowanport.ratelimits import UpstreamLimits
+from rowanport.ratelimits.limits import END_SECONDS
+from rowanport.ratelimits.limits import LARGEST
+from rowanport.ratelimits.limits import ROWS_LIMIT
+from rowanport.ratelimits.limits import TELL_END_SECONDS
 from rowanport.ratelimits.permits import BURST_SECONDS
 from rowanport.ratelimits.permits import CHUNK_LIMIT
 from rowanport.ratelimits.permits import HOLD_SECONDS
@@ -29,7 +29,7 @@
     "text, rate", [("1", 1.0), ("0", 0.0), ("2.50", 2.5), ("1000000", 1e6)]
 )
 def test_decimal_numbers_are_limits(text, rate):
-    assert read_limit(text) == rate
+    assert parse_limit(text) == rate
 
 
 @pytest.mark.parametrize(
@@ -39,40 +39,40 @@
 )
 def test_other_texts_are_none(text):
     with pytest.raises(MessageError):
-        read_limit(text)
+        parse_limit(text)
 
 
 # What was said last
 
 
 def test_the_last_answer_decides():
-    named = NamedLimits()
-    assert not named.note("u", None, NOW, NOW)
-    assert named.note("u", 1.0, NOW, NOW)
-    assert not named.note("u", 1.0, NOW + 1, NOW + 1)
-    assert not named.note("u", 5.0, NOW, NOW + 2)
+    named = UpstreamLimits()
+    assert not named.update("u", None, NOW, NOW)
+    assert named.update("u", 1.0, NOW, NOW)
+    assert not named.update("u", 1.0, NOW + 1, NOW + 1)
+    assert not named.update("u", 5.0, NOW, NOW + 2)
     assert named.rate("u") == 1.0
-    assert named.note("u", None, NOW + 2, NOW + 2)
+    assert named.update("u", None, NOW + 2, NOW + 2)
     assert named.rate("u") is None
     assert named.count == 0
 
 
 def test_peers_learn_a_limit_and_its_end():
-    here, there = NamedLimits(), NamedLimits()
-    here.note("u", 1.0, NOW, NOW)
-    (row,) = here.some_rows(NOW)
+    here, there = UpstreamLimits(), UpstreamLimits()
+    here.update("u", 1.0, NOW, NOW)
+    (row,) = here.next_rows(NOW)
     assert there.merge(row, NOW)
     assert there.rate("u") == 1.0
-    here.note("u", None, NOW + END_SECONDS, NOW + END_SECONDS)
-    (row,) = here.some_rows(NOW + END_SECONDS)
+    here.update("u", None, NOW + END_SECONDS, NOW + END_SECONDS)
+    (row,) = here.next_rows(NOW + END_SECONDS)
     assert there.merge(row, NOW + END_SECONDS)
     assert there.rate("u") is None
-    assert not here.some_rows(NOW + END_SECONDS + TELL_END_SECONDS)
+    assert not here.next_rows(NOW + END_SECONDS + TELL_END_SECONDS)
 
 
 def test_news_that_come_late_do_not_end_a_limit():
-    here = NamedLimits()
-    here.note("u", 1.0, NOW, NOW)
+    here = UpstreamLimits()
+    here.update("u", 1.0, NOW, NOW)
     assert not here.merge(LimitRow("u", -1.0, 0.0), NOW + 0.5)
     assert not here.merge(LimitRow("u", 7.0, 2.0), NOW + 0.5)
     assert here.rate("u") == 1.0
@@ -80,18 +80,18 @@
 
 @pytest.mark.parametrize("rate", [float("nan"), float("inf"), 2 * LARGEST])
 def test_absurd_news_change_nothing(rate):
-    here = NamedLimits()
+    here = UpstreamLimits()
     assert not here.merge(LimitRow("u", rate, 0.0), NOW)
     assert not here.merge(LimitRow("u", -1.0, 0.0), NOW)
     assert here.rate("u") is None
 
 
 def test_many_limits_are_told_in_turn():
-    here, there = NamedLimits(), NamedLimits()
+    here, there = UpstreamLimits(), UpstreamLimits()
     for number in range(3 * ROWS_LIMIT):
-        here.note(f"u{number}", 1.0, NOW, NOW)
+        here.update(f"u{number}", 1.0, NOW, NOW)
     for _question in range(4):
-        rows = here.some_rows(NOW)
+        rows = here.next_rows(NOW)
         assert len(rows) <= ROWS_LIMIT
         for row in rows:
             there.merge(row, NOW)
@@ -99,14 +99,14 @@
 
 
 def test_upstreams_that_are_gone_are_forgotten():
-    named, book, purse = NamedLimits(), PermitBook(), Purse()
-    named.note("u", 1.0, NOW, NOW)
+    named, book, purse = UpstreamLimits(), PermitGranter(), HeldPermits()
+    named.update("u", 1.0, NOW, NOW)
     purse.add("u", 1, NOW, NOW)
     book.grant("u", 1.0, 1, NOW)
     for part in (named, book, purse):
-        part.keep({"other"})
+        part.retain({"other"})
     assert named.rate("u") is None
-    assert not purse.take("u", NOW)
+    assert not purse.acquire("u", NOW)
 
 
 # Permits
@@ -114,7 +114,7 @@
 
 def granted(rate, pause, seconds, wanted=1):
     """Return the steady times of permits that are asked for all the time."""
-    book = PermitBook()
+    book = PermitGranter()
     times = []
     now = NOW
     while now < NOW + seconds:
@@ -133,7 +133,7 @@
 
 
 def test_a_pause_saves_few_permits():
-    book = PermitBook()
+    book = PermitGranter()
     book.grant("u", 10.0, 1, NOW)
     count, _next_at = book.grant("u", 10.0, 100, NOW + 1000)
     assert count <= 1 + BURST_SECONDS * 10.0
@@ -144,7 +144,7 @@
 
 
 def test_who_is_denied_hears_when_to_ask_again():
-    book = PermitBook()
+    book = PermitGranter()
     assert book.grant("u", 2.0, 1, NOW)[0] == 1
     count, next_at = book.grant("u", 2.0, 1, NOW)
     assert count == 0
@@ -153,7 +153,7 @@
 
 
 def test_a_limit_that_changes_holds_from_then_on():
-    book = PermitBook()
+    book = PermitGranter()
     book.grant("u", 100.0, 1, NOW)
     assert book.grant("u", 1.0, 50, NOW + 1)[0] == 1
     count, next_at = book.grant("u", 1.0, 50, NOW + 1.01)
@@ -161,26 +161,26 @@
 
 
 def test_permits_in_hand_lapse():
-    purse = Purse()
+    purse = HeldPermits()
     purse.add("u", 2, NOW, NOW)
-    assert purse.take("u", NOW)
-    assert not purse.take("u", NOW + HOLD_SECONDS)
+    assert purse.acquire("u", NOW)
+    assert not purse.acquire("u", NOW + HOLD_SECONDS)
     purse.add("u", 1, NOW, NOW + HOLD_SECONDS)
-    assert purse.take("u", NOW + HOLD_SECONDS)
-    assert not purse.take("u", NOW + HOLD_SECONDS)
+    assert purse.acquire("u", NOW + HOLD_SECONDS)
+    assert not purse.acquire("u", NOW + HOLD_SECONDS)
 
 
 def test_who_was_denied_waits_until_there_may_be_one():
-    purse = Purse()
-    assert purse.open_at("u", NOW) == NOW
+    purse = HeldPermits()
+    assert purse.available_at("u", NOW) == NOW
     purse.add("u", 0, NOW + 0.4, NOW)
-    assert purse.open_at("u", NOW) == NOW + 0.4
-    assert purse.open_at("u", NOW + 1) == NOW + 1
+    assert purse.available_at("u", NOW) == NOW + 0.4
+    assert purse.available_at("u", NOW + 1) == NOW + 1
 
 
 @pytest.mark.parametrize("rate", [1.0, 20.0])
 def test_a_large_fleet_does_not_come_back_for_the_same_permit(rate):
-    book = PermitBook()
+    book = PermitGranter()
     back_at = {router: NOW for router in range(195)}
     asks = grants = 0
     for tick in range(6000):
@@ -197,7 +197,7 @@
 
 
 def test_high_limits_are_granted_by_chunks():
-    assert chunk(1.0, 7) == 1
-    assert chunk(280.0, 7) == 10
-    assert chunk(LARGEST, 1) == CHUNK_LIMIT
-    assert chunk(0.0, 0) == 1
+    assert permit_batch_size(1.0, 7) == 1
+    assert permit_batch_size(280.0, 7) == 10
+    assert permit_batch_size(LARGEST, 1) == CHUNK_LIMIT
+    assert permit_batch_size(0.0, 0) == 1
