--- a/rowanport/gateway/daemon.py
+++ b/rowanport/gateway/daemon.py
@@ -372,11 +372,11 @@
         self._server.drain()
         self.forwarder.bound_open()
         LOG.info("gateway_stopping", busy=self._server.busy)
-        self.budgets.keep(self.stopping.unmade)
+        self.budgets.withhold(self.stopping.unmade)
         await self._hand_over()
         await self._finish_requests()
         self.stopping.close()
-        self.budgets.keep({})
+        self.budgets.withhold({})
         await self._hand_over()
         await self._server.finish(self._last_wait(), self._time_to_cut)
         LOG.info(
@@ -390,7 +390,7 @@
     async def _hand_over(self):
         """Pass tokens on; an error must not end answers that are in hand."""
         try:
-            await self.budgets.hand_over()
+            await self.budgets.hand_off()
         except Exception:
             LOG.exception("hand_over_failed")
 
--- a/rowanport/gateway/repeats.py
+++ b/rowanport/gateway/repeats.py
@@ -43,7 +43,7 @@
         self._check_beside(job, responder)
         tokens = job.unmade if job.budget is not None else 0
         if tokens:
-            if not self._gateway.budgets.reserve_now(job.budget, tokens):
+            if not self._gateway.budgets.try_reserve(job.budget, tokens):
                 raise RepeatRefused("no tokens for a second run")
             job.reserved += tokens
         self._take_allowance(job)
--- a/rowanport/gateway/views.py
+++ b/rowanport/gateway/views.py
@@ -199,7 +199,7 @@
 
     def handle(self, message):
         """Answer a ViewAsk."""
-        self._clocks.hear(message.asker, message.wall)
+        self._clocks.observe(message.asker, message.wall)
         suspects = SuspectNews(0, [])
         age = round(1000 * self.standing.age)
         away = round(1000 * self.standing.store_age)
@@ -354,7 +354,7 @@
         )
         # Without the time in which a silent connection was found out.
         self._congestion.note_round_trip(self._peers.last_trip(address))
-        self._clocks.hear(address, give.wall)
+        self._clocks.observe(address, give.wall)
         for note in give.notes:
             self.loads.take(note)
         if self.crashes is not None:
--- a/rowanport/prepaid/clocks.py
+++ b/rowanport/prepaid/clocks.py
@@ -19,7 +19,7 @@
         self._clock = clock
         self._offsets = {}
 
-    def hear(self, peer, wall):
+    def observe(self, peer, wall):
         """Note a peer's wall time, just received."""
         now = self._clock.steady()
         self._offsets[peer] = (wall - self._clock.wall(), now)
--- a/rowanport/prepaid/keeper.py
+++ b/rowanport/prepaid/keeper.py
@@ -197,7 +197,7 @@
             if waiter in account.waiting:
                 account.waiting.remove(waiter)
 
-    def reserve_now(self, name, tokens):
+    def try_reserve(self, name, tokens):
         """Set tokens of a budget aside without a wait; return whether."""
         return self._reserve(self._account(name), tokens)
 
@@ -442,11 +442,11 @@
 
     # Planned stop
 
-    def keep(self, tokens):
+    def withhold(self, tokens):
         """Keep some tokens by budget from being handed over."""
         self._kept = tokens
 
-    async def hand_over(self):
+    async def hand_off(self):
         """Pass all free tokens on; called as a stop begins and as it ends.
 
         Where the store can be reached, a last record first lets all of them
--- a/test/prepaid_world.py
+++ b/test/prepaid_world.py
@@ -216,7 +216,7 @@
         while True:
             for other in world.routers.values():
                 if other is not self:
-                    self.clocks.hear(other.address, other.clock.wall())
+                    self.clocks.observe(other.address, other.clock.wall())
             await asyncio.sleep(0.25)
 
     def spawn(self, world, coroutine):
@@ -401,11 +401,11 @@
             self.loop.call_later(index * gap, self.stop, address)
 
     async def _stop(self, router):
-        await router.keeper.hand_over()
+        await router.keeper.hand_off()
         await asyncio.sleep(STOP_LINGER)
         with contextlib.suppress(asyncio.TimeoutError):
             async with asyncio.timeout(STOP_RESERVE):
-                await router.keeper.hand_over()
+                await router.keeper.hand_off()
         if self.routers.get(router.address) is router:
             self.kill(router.address, 0.3)
 
--- a/test/test_prepaid_stops.py
+++ b/test/test_prepaid_stops.py
@@ -64,10 +64,10 @@
     keeper = router.keeper
     world.loop.run_until_complete(keeper.reserve(BUDGET, 150))
     router.leaving = True
-    world.loop.run_until_complete(keeper.hand_over())
+    world.loop.run_until_complete(keeper.hand_off())
     world.advance(STOP_LINGER)
     keeper.settle(BUDGET, 150, 50)
-    world.loop.run_until_complete(keeper.hand_over())
+    world.loop.run_until_complete(keeper.hand_off())
     assert world.taken() == 50
     world.close()
 
--- a/test/test_process_end.py
+++ b/test/test_process_end.py
@@ -216,7 +216,7 @@
                 if len(calls) == failing:
                     raise ZeroDivisionError
 
-            platform.gateway.budgets.hand_over = hand_over
+            platform.gateway.budgets.hand_off = hand_over
             for upstream in platform.upstreams:
                 upstream.pause = 0.2
             answer = await platform.stream("/stream/")
--- a/test/test_stopping.py
+++ b/test/test_stopping.py
@@ -195,7 +195,7 @@
 
 @scenario
 async def test_a_request_is_not_taken_while_the_router_hands_over(platform):
-    handed = platform.gateway.budgets.hand_over
+    handed = platform.gateway.budgets.hand_off
     calls = []
 
     async def hand_over_slowly():
@@ -204,7 +204,7 @@
             await asyncio.sleep(0.6)
         await handed()
 
-    platform.gateway.budgets.hand_over = hand_over_slowly
+    platform.gateway.budgets.hand_off = hand_over_slowly
     for upstream in platform.upstreams:
         upstream.pause = 0.3
     stopping = begin_stop(platform)
