--- a/rowanport/prepaid/drawer.py
+++ b/rowanport/prepaid/batches.py
@@ -80,7 +80,7 @@
         self.unsure = False
 
 
-class Drawer:
+class BatchWriter:
     """The store's side of one router's budgets.
 
     :param incarnation: this router's incarnation
--- a/rowanport/prepaid/handover.py
+++ b/rowanport/prepaid/handoff.py
@@ -17,7 +17,7 @@
 from ..schema.messages import HandOver
 from ..schema.messages import Refused
 from ..tasks import TaskSet
-from .answers import Answers
+from .reply_cache import ReplyCache
 
 LOG = structlog.get_logger(__name__)
 
@@ -34,12 +34,12 @@
 # Seconds after which no try follows, and for which an heir remembers what it
 # took: far longer, as a try may be on its way while its link is down.
 TRY_SECONDS = 10.0
-ANSWER_MEMORY = 600.0
+REPLY_MEMORY = 600.0
 # Between the heir and the random part in a hand-over's id.
 ID_MARK = "~"
 
 
-class HandOvers:
+class Handoffs:
     """Passes tokens on, and takes those of others.
 
     :param keeper: the BudgetKeeper, for its accounts
@@ -55,7 +55,7 @@
         self._peers = peers
         self._members = members
         self._clock = clock
-        self._answers = Answers(clock, ANSWER_MEMORY)
+        self._replies = ReplyCache(clock, REPLY_MEMORY)
         self._tasks = TaskSet()
         self._unanswered = {}
 
@@ -65,7 +65,7 @@
         """Answer a HandOver of a peer; one with nothing in it only asks."""
         if not message.tokens and not message.spent:
             return self._refusal(message) or Ack()
-        return self._answers.once(message.id, self._inherit, message)
+        return self._replies.handle_once(message.id, self._inherit, message)
 
     def _inherit(self, message):
         refusal = self._refusal(message)
--- a/rowanport/prepaid/keeper.py
+++ b/rowanport/prepaid/keeper.py
@@ -16,13 +16,13 @@
 from ..tasks import TaskSet
 from .account import Account
 from .exhaustion import Exhaustion
-from .handover import HandOvers
+from .handoff import Handoffs
 from .holders import Holders
-from .lender import Asked
-from .lender import Lender
-from .news import RecordNews
+from .loan_returns import LoanReturns
+from .loans import Asked
+from .loans import Loans
+from .notifier import RecordNotifier
 from .refill import Refill
-from .returns import Returns
 
 LOG = structlog.get_logger(__name__)
 
@@ -53,7 +53,7 @@
 # Longest wait in seconds for the last record at a planned stop.
 RELEASE_WAIT = 0.3
 # Longest time in seconds of a hand-over: what a planned stop leaves for it.
-HAND_OVER_SECONDS = 0.7
+HANDOFF_SECONDS = 0.7
 # Seconds between two looks whether all is given back.
 GIVE_BACK_POLL = 0.01
 
@@ -96,15 +96,15 @@
             self._holders,
             clock,
             clocks,
-            RecordNews(address, peers),
+            RecordNotifier(address, peers),
         )
-        self._lender = Lender(self, incarnation, peers, members, clock)
-        self._hand_overs = HandOvers(self, incarnation, peers, members, clock)
-        self._returns = Returns(
+        self._loans = Loans(self, incarnation, peers, members, clock)
+        self._handoffs = Handoffs(self, incarnation, peers, members, clock)
+        self._loan_returns = LoanReturns(
             self._accounts,
             self._holders,
             self._refill,
-            self._hand_overs,
+            self._handoffs,
             members,
             clock,
         )
@@ -260,12 +260,12 @@
     def handle(self, message):
         """Answer a LendAsk, a HandOver or BudgetNews of a peer."""
         if isinstance(message, LendAsk):
-            return self._lender.handle(message)
+            return self._loans.handle(message)
         if isinstance(message, BudgetNews):
             value = Value(message.data, message.version)
             self._refill.hear(message.budget, value)
             return Ack()
-        return self._hand_overs.handle(message)
+        return self._handoffs.handle(message)
 
     def credit(self, name, tokens):
         """Take in tokens from a peer."""
@@ -348,7 +348,7 @@
                 # A limit holds tokens back: mostly the next record opens it.
                 # In a cut peers may still let some go.
                 await asyncio.sleep(ASK_AGAIN)
-            await self._lender.ask_all(account)
+            await self._loans.ask_all(account)
         else:
             await self._borrow(account)
             if account.waiting and not account.unanswered:
@@ -364,15 +364,15 @@
         Others are asked last: a dozen of them first, in vain, are four round
         trips out of the 0.14 s that a request waits.
         """
-        asked = await self._lender.ask_holders(account)
+        asked = await self._loans.ask_holders(account)
         while account.waiting and asked is Asked.MORE:
             await asyncio.sleep(ASK_AGAIN)
-            asked = await self._lender.ask_holders(account)
+            asked = await self._loans.ask_holders(account)
         if not account.waiting:
             return
         if asked is Asked.UNANSWERED:
             self._holders.draw_alone(account.name)
-        await self._lender.ask_all(account)
+        await self._loans.ask_all(account)
 
     # Store
 
@@ -383,7 +383,7 @@
             self._wake.clear()
             self._report()
             if not self.stopping:
-                self._returns.send()
+                self._loan_returns.send()
             pause = URGENT_PAUSE
             try:
                 written = await self._refill.sync()
@@ -455,17 +455,17 @@
         here until the next call, which gives it back to the store.
         """
         is_last = self.stopping
-        deadline = self._clock.steady() + HAND_OVER_SECONDS
+        deadline = self._clock.steady() + HANDOFF_SECONDS
         self._refill.release()
         self._wake.set()
         await self._wait_for_release()
-        heirs = await self._hand_overs.find_heirs()
+        heirs = await self._handoffs.find_heirs()
         if heirs:
             tokens = self._take_free()
-            await self._hand_overs.pass_on(heirs, tokens, deadline)
+            await self._handoffs.pass_on(heirs, tokens, deadline)
         if is_last:
             await self._give_back(deadline)
-        self._hand_overs.report()
+        self._handoffs.report()
 
     async def _wait_for_release(self):
         try:
--- a/rowanport/prepaid/returns.py
+++ b/rowanport/prepaid/loan_returns.py
@@ -35,22 +35,22 @@
         self.spent = {}
 
 
-class Returns:
+class LoanReturns:
     """Hands over what this router borrowed and does not need.
 
     :param accounts: the Accounts by budget
     :param holders: the Holders
     :param refill: the Refill, which knows what is borrowed
-    :param hand_overs: the HandOvers
+    :param handoffs: the Handoffs
     :param members: the Membership
     :param clock: a Clock
     """
 
-    def __init__(self, accounts, holders, refill, hand_overs, members, clock):
+    def __init__(self, accounts, holders, refill, handoffs, members, clock):
         self._accounts = accounts
         self._holders = holders
         self._refill = refill
-        self._hand_overs = hand_overs
+        self._handoffs = handoffs
         self._members = members
         self._clock = clock
         self._look_at = clock.steady()
@@ -75,7 +75,7 @@
                     lender = random.choice(lenders)
                 self._move(account, shares.setdefault(lender, _Share()))
         for lender, share in shares.items():
-            self._hand_overs.send(lender, share.tokens, share.spent)
+            self._handoffs.send(lender, share.tokens, share.spent)
 
     def _is_idle(self, account):
         if account.waiting:
--- a/rowanport/prepaid/lender.py
+++ b/rowanport/prepaid/loans.py
@@ -14,7 +14,7 @@
 from ..schema.messages import Lent
 from ..schema.messages import NoLoan
 from ..tasks import TaskSet
-from .answers import Answers
+from .reply_cache import ReplyCache
 
 LOG = structlog.get_logger(__name__)
 
@@ -32,7 +32,7 @@
 # Peers asked in all.
 ASK_LIMIT = 16
 # Seconds for which answers to asks are remembered.
-ANSWER_MEMORY = 30.0
+REPLY_MEMORY = 30.0
 
 
 class Asked(enum.IntEnum):
@@ -44,7 +44,7 @@
     MORE = 2
 
 
-class Lender:
+class Loans:
     """Asks peers for tokens and answers theirs.
 
     :param keeper: the BudgetKeeper, for its accounts
@@ -60,7 +60,7 @@
         self._peers = peers
         self._members = members
         self._clock = clock
-        self._answers = Answers(clock, ANSWER_MEMORY)
+        self._replies = ReplyCache(clock, REPLY_MEMORY)
         self._tasks = TaskSet()
 
     # Asking
@@ -172,7 +172,7 @@
 
     def handle(self, message):
         """Answer a LendAsk of a peer."""
-        return self._answers.once(message.ask, self._lend, message)
+        return self._replies.handle_once(message.ask, self._lend, message)
 
     def _lend(self, message):
         tokens = self._keeper.lend(
--- a/rowanport/prepaid/news.py
+++ b/rowanport/prepaid/notifier.py
@@ -14,10 +14,10 @@
 LOG = structlog.get_logger(__name__)
 
 # Seconds for an answer, of which nothing depends.
-TELL_TIMEOUT = 0.5
+NOTIFY_TIMEOUT = 0.5
 
 
-class RecordNews:
+class RecordNotifier:
     """Tells peers of the records that this router wrote.
 
     :param address: this router's peer address
@@ -29,7 +29,7 @@
         self._peers = peers
         self._tasks = TaskSet()
 
-    def tell(self, addresses, name, value):
+    def notify(self, addresses, name, value):
         """Tell some peers what a budget's record says now.
 
         :param addresses: their peer addresses; the own one is passed over
@@ -38,11 +38,11 @@
         message = BudgetNews(name, value.version, value.data)
         for address in addresses:
             if address != self._address:
-                self._tasks.spawn(self._tell(address, message))
+                self._tasks.spawn(self._notify(address, message))
 
-    async def _tell(self, address, message):
+    async def _notify(self, address, message):
         try:
-            await self._peers.call(address, message, TELL_TIMEOUT)
+            await self._peers.call(address, message, NOTIFY_TIMEOUT)
         except PeerError as error:
             # Its next draw costs one more call.
             LOG.debug("budget_news_lost", peer=address, error=str(error))
--- a/rowanport/prepaid/refill.py
+++ b/rowanport/prepaid/refill.py
@@ -10,8 +10,8 @@
 from .allowance import Allowances
 from .allowance import Limit
 from .allowance import RENEW_SECONDS
-from .drawer import BATCH_LIMIT
-from .drawer import Drawer
+from .batches import BATCH_LIMIT
+from .batches import BatchWriter
 
 LOG = structlog.get_logger(__name__)
 
@@ -36,22 +36,22 @@
     :param holders: the Holders
     :param clock: a Clock
     :param clocks: the FleetClocks
-    :param news: the RecordNews
+    :param notifier: the RecordNotifier
     """
 
     def __init__(
-        self, incarnation, accounts, store, holders, clock, clocks, news
+        self, incarnation, accounts, store, holders, clock, clocks, notifier
     ):
         self._address = address_of(incarnation)
         self._accounts = accounts
         self._holders = holders
         self._clock = clock
-        self._news = news
+        self._notifier = notifier
         self._totals = ({}, 0)
         self._dry_until = {}
         self._drawn = set()
         self._allowances = Allowances()
-        self._drawer = Drawer(
+        self._writer = BatchWriter(
             incarnation,
             self._address,
             store,
@@ -59,7 +59,7 @@
             clock,
             clocks,
         )
-        self._drawer.on_record = self._note_record
+        self._writer.on_record = self._note_record
         self._started = clock.steady()
         self._stopping = False
         self._giving_back = False
@@ -112,7 +112,7 @@
         """Return whether there is anything left to give back."""
         if not self._giving_back:
             return False
-        return self._drawer.batch is not None or bool(self._last_wishes())
+        return self._writer.batch is not None or bool(self._last_wishes())
 
     # Steps
 
@@ -126,14 +126,14 @@
         try:
             return await self._step()
         except StoreBusy:
-            if self._drawer.batch and not self._drawer.unsure:
-                self._put_back(self._drawer.drop())
+            if self._writer.batch and not self._writer.unsure:
+                self._put_back(self._writer.drop())
             raise
 
     async def _step(self):
-        if not self._drawer.recovered:
-            await self._drawer.recover()
-        if self._drawer.batch is None:
+        if not self._writer.recovered:
+            await self._writer.recover()
+        if self._writer.batch is None:
             wishes = self._last_wishes() if self._stopping else self._wishes()
             if not wishes and not self._is_record_due():
                 return False
@@ -250,7 +250,7 @@
             if wish < 0:
                 # Tokens on their way back are nobody's to spend.
                 self._accounts[name].take_out(-wish)
-        self._drawer.begin(wishes)
+        self._writer.begin(wishes)
 
     def _put_back(self, batch):
         for name, wish in batch.wishes.items():
@@ -260,15 +260,15 @@
     # Records of budgets
 
     def _note_record(self, name, value):
-        self._news.tell(self._holders.of(name), name, value)
+        self._notifier.notify(self._holders.of(name), name, value)
 
     def hear(self, name, value):
         """Take in what a budget's record says, as a peer wrote it."""
-        self._drawer.hear(name, value)
+        self._writer.hear(name, value)
         account = self._accounts.get(name)
-        if account is not None and self._drawer.batch is None:
+        if account is not None and self._writer.batch is None:
             # Else the record may count what this router still adds to it.
-            account.recorded = self._drawer.record(name).spent
+            account.recorded = self._writer.record(name).spent
 
     def untold(self, account):
         """Return the tokens spent here that a lender may be told to count.
@@ -276,7 +276,7 @@
         What the store may count already would be counted twice, and the budget
         be called spent too early.
         """
-        if self._drawer.may_count_spent(account.name):
+        if self._writer.may_count_spent(account.name):
             return 0
         return account.unreported
 
@@ -333,7 +333,7 @@
         return {name: a.inflow for name, a in self._accounts.items()}
 
     async def _write(self):
-        batch = await self._drawer.write(self)
+        batch = await self._writer.write(self)
         if batch is None:
             return False
         if self._stopping and self._is_released(batch):
@@ -347,7 +347,7 @@
             drawn = max(0, moved)
             account.credit(drawn)
             batch.allowance.note_drawn(name, drawn)
-            record = self._drawer.record(name)
+            record = self._writer.record(name)
             account.note_record(record, batch.reported[name], now)
             if batch.wishes[name] <= 0:
                 account.recalled = False
--- a/rowanport/prepaid/answers.py
+++ b/rowanport/prepaid/reply_cache.py
@@ -1,7 +1,7 @@
 """Answers that are remembered, so that a repeated message acts once."""
 
 
-class Answers:
+class ReplyCache:
     """What a router answered lately.
 
     :param clock: a Clock
@@ -14,18 +14,18 @@
         self._seconds = seconds
         self._known = {}
 
-    def once(self, key, act, message):
+    def handle_once(self, key, handler, message):
         """Act on a message once, and give the same answer to repeats.
 
         :param key: what all repeats have in common
-        :param act: function from the message to its answer
+        :param handler: function from the message to its answer
         """
         now = self._clock.steady()
         self._forget(now)
         known = self._known.get(key)
         if known is not None:
             return known[0]
-        answer = act(message)
+        answer = handler(message)
         self._known[key] = (answer, now + self._seconds)
         return answer
 
--- a/test/prepaid_world.py
+++ b/test/prepaid_world.py
@@ -22,7 +22,7 @@
 from rowanport.prepaid import BudgetKeeper
 from rowanport.prepaid import BudgetRecord
 from rowanport.prepaid import FleetClocks
-from rowanport.prepaid.drawer import BUDGET_PREFIX
+from rowanport.prepaid.batches import BUDGET_PREFIX
 from rowanport.store import TransactionStore
 from rowanport.store import Value
 
@@ -367,7 +367,7 @@
         if router is None:
             return
         keeper = router.keeper
-        owners = (keeper, keeper._lender, keeper._hand_overs)
+        owners = (keeper, keeper._loans, keeper._handoffs)
         for task in router.tasks + [t for o in owners for t in o._tasks]:
             task.cancel()
         # What was under way may have used all that was set aside for it.
--- a/test/test_prepaid.py
+++ b/test/test_prepaid.py
@@ -22,16 +22,16 @@
 
 from rowanport.errors import ErrorKind
 from rowanport.prepaid import Account
+from rowanport.prepaid import batches
 from rowanport.prepaid import BudgetRecord
-from rowanport.prepaid import drawer
 from rowanport.prepaid import holders as holders_
 from rowanport.prepaid.account import LEFT_SECONDS
 from rowanport.prepaid.allowance import Allowances
 from rowanport.prepaid.allowance import GROWTH_DELAY
 from rowanport.prepaid.allowance import HOLD_SECONDS
 from rowanport.prepaid.allowance import process_age
-from rowanport.prepaid.answers import Answers
-from rowanport.prepaid.drawer import Drawer
+from rowanport.prepaid.batches import BatchWriter
+from rowanport.prepaid.reply_cache import ReplyCache
 
 STEPS = 25
 EXAMPLES = 40
@@ -187,20 +187,20 @@
 
 @contextlib.contextmanager
 def recovered_however_late():
-    with mock.patch.object(drawer, "process_age", lambda *_: 0.0):
+    with mock.patch.object(batches, "process_age", lambda *_: 0.0):
         yield
 
 
 @contextlib.contextmanager
 def machine_recovered_however_late():
-    with mock.patch.object(drawer, "machine_age", lambda *_: 0.0):
+    with mock.patch.object(batches, "machine_age", lambda *_: 0.0):
         yield
 
 
 @contextlib.contextmanager
 def unheard_write_made_anew():
-    finish = Drawer._forget_writes
-    write = Drawer.write
+    finish = BatchWriter._forget_writes
+    write = BatchWriter.write
 
     async def writing(self, *args):
         if self.batch.unsure:
@@ -208,16 +208,16 @@
             self.batch.number += 1
         return await write(self, *args)
 
-    with mock.patch.object(Drawer, "write", writing):
+    with mock.patch.object(BatchWriter, "write", writing):
         yield
 
 
 @contextlib.contextmanager
 def loan_repeated():
-    def once(self, key, act, message):
-        return act(message)
+    def handle_once(self, key, handler, message):
+        return handler(message)
 
-    with mock.patch.object(Answers, "once", once):
+    with mock.patch.object(ReplyCache, "handle_once", handle_once):
         yield
 
 
@@ -333,7 +333,9 @@
 
 def test_what_limits_let_go_as_they_grow_is_not_recovered():
     outlive_records_and_restart()
-    younger = mock.patch.object(drawer, "process_age", recovered_as_if_younger)
+    younger = mock.patch.object(
+        batches, "process_age", recovered_as_if_younger
+    )
     with younger, pytest.raises(AssertionError, match="about"):
         outlive_records_and_restart()
 
@@ -548,6 +550,6 @@
         keeper.settle(BUDGET, 0, 0, 50)
         draw_again(world, ADDRESSES[0])
         world.advance(9.0)
-    key = drawer.BUDGET_PREFIX + BUDGET
+    key = batches.BUDGET_PREFIX + BUDGET
     assert BudgetRecord.unpack(world.read(key).data).spent == 150
     world.close()
--- a/test/test_prepaid_fleet.py
+++ b/test/test_prepaid_fleet.py
@@ -13,7 +13,7 @@
 from rowanport.prepaid.holders import HOLDERS
 from rowanport.prepaid.holders import LEARN_SECONDS
 from rowanport.prepaid.holders import SMALL_FLEET
-from rowanport.prepaid.lender import Lender
+from rowanport.prepaid.loans import Loans
 
 
 def test_a_router_that_knows_nobody_yet_does_not_draw_for_the_whole_fleet():
@@ -150,13 +150,13 @@
     world, holders = fleet.world, fleet.holders
     borrower = fleet.borrowers[0]
     asked = []
-    ask = Lender._ask
+    ask = Loans._ask
 
     def note(lender, account, address, tokens):
         asked.append(address)
         return ask(lender, account, address, tokens)
 
-    with mock.patch.object(Lender, "_ask", note):
+    with mock.patch.object(Loans, "_ask", note):
         world.request(borrower, 6000, 3000, 0.1)
         world.advance(0.5)
     assert (world.served, world.refusals) == (1, 0)
--- a/test/test_prepaid_limits.py
+++ b/test/test_prepaid_limits.py
@@ -12,8 +12,8 @@
 
 from rowanport.errors import MessageError
 from rowanport.prepaid import Account
+from rowanport.prepaid import batches
 from rowanport.prepaid import BudgetRecord
-from rowanport.prepaid import drawer
 from rowanport.prepaid import HolderRecord
 from rowanport.prepaid.account import PACE_SHARE
 from rowanport.prepaid.allowance import Allowance
@@ -133,7 +133,7 @@
 
 def test_a_record_of_its_own_that_cannot_be_read_stops_no_router():
     world = make_world()
-    key = drawer.HOLDER_PREFIX + ADDRESSES[0]
+    key = batches.HOLDER_PREFIX + ADDRESSES[0]
     world.kill(ADDRESSES[0], 0.5)
     world.revision += 1
     world.values[key] = (Value(b"\xc1", world.revision), None)
--- a/test/test_prepaid_losses.py
+++ b/test/test_prepaid_losses.py
@@ -14,11 +14,11 @@
 from hypothesis.stateful import RuleBasedStateMachine
 import pytest
 
-from rowanport.prepaid import drawer
+from rowanport.prepaid import batches
 from rowanport.prepaid import HolderRecord
 from rowanport.prepaid.allowance import GROWTH_DELAY
 from rowanport.prepaid.allowance import LEASE_SPANS
-from rowanport.prepaid.drawer import HOLDER_PREFIX
+from rowanport.prepaid.batches import HOLDER_PREFIX
 from rowanport.prepaid.leases import REUSE_SHARE
 
 TOTAL = 1_000_000
@@ -220,7 +220,7 @@
 
 @contextlib.contextmanager
 def no_machine_recovered():
-    with mock.patch.object(drawer, "machine_age", lambda *_: None):
+    with mock.patch.object(batches, "machine_age", lambda *_: None):
         yield
 
 
--- a/test/test_prepaid_news.py
+++ b/test/test_prepaid_news.py
@@ -6,7 +6,7 @@
 import pytest
 
 from rowanport.prepaid import BudgetRecord
-from rowanport.prepaid.drawer import BUDGET_PREFIX
+from rowanport.prepaid.batches import BUDGET_PREFIX
 from rowanport.schema.messages import BudgetNews
 
 
--- a/test/test_prepaid_recovery.py
+++ b/test/test_prepaid_recovery.py
@@ -18,7 +18,7 @@
 from rowanport.prepaid.allowance import Limit
 from rowanport.prepaid.allowance import machine_age
 from rowanport.prepaid.allowance import process_age
-from rowanport.prepaid.drawer import BUDGET_PREFIX
+from rowanport.prepaid.batches import BUDGET_PREFIX
 
 
 def test_only_routers_with_a_record_pay_for_a_read_at_their_start():
--- a/test/test_prepaid_spent.py
+++ b/test/test_prepaid_spent.py
@@ -22,8 +22,8 @@
 from rowanport.prepaid import BudgetRecord
 from rowanport.prepaid import HolderRecord
 from rowanport.prepaid import holders
-from rowanport.prepaid.drawer import BUDGET_PREFIX
-from rowanport.prepaid.drawer import HOLDER_PREFIX
+from rowanport.prepaid.batches import BUDGET_PREFIX
+from rowanport.prepaid.batches import HOLDER_PREFIX
 from rowanport.prepaid.holders import ALONE_SECONDS
 
 
@@ -130,11 +130,11 @@
     keeper.settle(BUDGET, 0, 0, 7000)
     world.spent += 7000
     keeper._holders.draw_alone(BUDGET)
-    drawer = keeper._refill._drawer
-    store = LostAnswers(drawer._store)
-    with mock.patch.object(drawer, "_store", store):
+    writer = keeper._refill._writer
+    store = LostAnswers(writer._store)
+    with mock.patch.object(writer, "_store", store):
         world.advance(ALONE_SECONDS + 2.0)
-        assert drawer.unsure and store.commits > 1
+        assert writer.unsure and store.commits > 1
     for other in fleet.holders:
         fleet.account(other).take_out(fleet.account(other).available)
     world.advance(5.0)
--- a/test/test_prepaid_stops.py
+++ b/test/test_prepaid_stops.py
@@ -13,8 +13,8 @@
 from rowanport.errors import ErrorKind
 from rowanport.errors import PeerError
 from rowanport.incarnation import address_of
-from rowanport.prepaid.handover import HandOvers
-from rowanport.prepaid.handover import TRY_TIMEOUT
+from rowanport.prepaid.handoff import Handoffs
+from rowanport.prepaid.handoff import TRY_TIMEOUT
 from rowanport.schema.messages import Refused
 
 # Budgets that take several batches to give back.
@@ -173,7 +173,7 @@
 
 
 def test_tokens_of_a_hand_over_without_an_answer_go_to_nobody_else():
-    broken = mock.patch.object(HandOvers, "_send", refused_if_unanswered)
+    broken = mock.patch.object(Handoffs, "_send", refused_if_unanswered)
     with broken, pytest.raises(AssertionError, match="about"):
         stop_beside_a_silent_connection("answer lost", False)
 
@@ -196,6 +196,6 @@
     # next run recovered what the record named, and took the repeated message
     # as well.  Cause: repeats are known by a memory that ends with the run.
     hand_over_to_two_runs()
-    taken = mock.patch.object(HandOvers, "_is_for_this_run", lambda *_: True)
+    taken = mock.patch.object(Handoffs, "_is_for_this_run", lambda *_: True)
     with taken, pytest.raises(AssertionError, match="about"):
         hand_over_to_two_runs()
