--- a/rowanport/prepaid/allowance.py
+++ b/rowanport/prepaid/allowance.py
@@ -43,29 +43,29 @@
     """Most tokens of one budget out, as a total since a router's start.
 
     :ivar base: tokens at the time of the record
-    :ivar pace: tokens a second by which it grows later
+    :ivar growth: tokens a second by which it grows later
     :ivar delay: age of the record in seconds from which it grows
     """
 
-    __slots__ = ("base", "pace", "delay")
+    __slots__ = ("base", "growth", "delay")
 
-    def __init__(self, base, pace=0.0, delay=GROWTH_DELAY):
+    def __init__(self, base, growth=0.0, delay=GROWTH_DELAY):
         self.base = base
-        self.pace = pace
+        self.growth = growth
         self.delay = delay
 
     def at(self, age):
         """Return the limit when its record has some age in seconds."""
-        return int(self.base + self.pace * max(0.0, age - self.delay))
+        return int(self.base + self.growth * max(0.0, age - self.delay))
 
     def age_of(self, tokens):
         """Return the age in seconds from which it is some tokens at least."""
         if tokens <= self.base:
             return 0.0
-        if not self.pace:
+        if not self.growth:
             return math.inf
         # One token more: a limit is rounded down.
-        return self.delay + (tokens + 1 - self.base) / self.pace
+        return self.delay + (tokens + 1 - self.base) / self.growth
 
 
 class Allowance:
@@ -89,18 +89,18 @@
         self.limits = limits
         self.inflows = inflows
 
-    def room(self, account, now):
+    def headroom(self, account, now):
         """Return how many more tokens of an Account may go out."""
         limit = self.limits[account.name].at(now - self.made_at)
         return limit - self.inflows[account.name] + account.available
 
-    def room_at(self, account, tokens):
+    def allowed_at(self, account, tokens):
         """Return the steady time from which some tokens may go out."""
         out = tokens + self.inflows[account.name] - account.available
         age = self.limits[account.name].age_of(out)
         return min(self.made_at + age, self.lapses_at)
 
-    def note_drawn(self, name, tokens):
+    def add_drawn(self, name, tokens):
         """Note that tokens drawn by the record's own batch have come in.
 
         The record counts them, so they do not widen its limit.
@@ -112,50 +112,52 @@
     """The limits of all records that may stand in the store."""
 
     def __init__(self):
-        self._binding = []
+        self._active = []
 
     def add(self, allowance):
         """Take in the limits of a record that is about to be written."""
-        if allowance not in self._binding:
-            self._binding.append(allowance)
+        if allowance not in self._active:
+            self._active.append(allowance)
 
-    def drop(self, allowance):
+    def discard(self, allowance):
         """Forget a record that surely does not stand in the store."""
-        if allowance in self._binding:
-            self._binding.remove(allowance)
+        if allowance in self._active:
+            self._active.remove(allowance)
 
-    def settle_on(self, allowance):
+    def confirm(self, allowance):
         """Keep only the record that surely stands in the store."""
-        self._binding = [allowance]
+        self._active = [allowance]
 
-    def room(self, account, now):
+    def headroom(self, account, now):
         """Return how many more tokens of an Account may go out, or None.
 
         :returns: None if no limit binds
         """
-        binding = self._of(account.name, now)
-        return min((one.room(account, now) for one in binding), default=None)
+        binding = self._in_effect(account.name, now)
+        return min(
+            (one.headroom(account, now) for one in binding), default=None
+        )
 
-    def room_at(self, account, tokens, now):
+    def allowed_at(self, account, tokens, now):
         """Return the steady time from which limits let some tokens go.
 
         :param tokens: tokens that the Account holds, or fewer
         """
-        binding = self._of(account.name, now)
-        times = (one.room_at(account, tokens) for one in binding)
+        binding = self._in_effect(account.name, now)
+        times = (one.allowed_at(account, tokens) for one in binding)
         return max(times, default=now)
 
-    def _of(self, name, now):
+    def _in_effect(self, name, now):
         """Return the Allowances that bind a budget now."""
         return [
             one
-            for one in self._binding
+            for one in self._active
             if name in one.limits and now < one.lapses_at
         ]
 
     def newest(self):
         """Return the newest Allowance, or None."""
-        return self._binding[-1] if self._binding else None
+        return self._active[-1] if self._active else None
 
 
 def process_age(record, steady, wall):
@@ -167,7 +169,7 @@
     :returns: seconds; None if that is not proved, or limits bound no more
     """
     age = steady - record.made_at
-    if not 0.0 <= age < record.binds_for:
+    if not 0.0 <= age < record.effective_seconds:
         return None
     proved = abs(wall - record.wall - age) < CLOCK_TOLERANCE
     return age if proved else None
@@ -189,5 +191,5 @@
     age = latest - record.earliest
     if age < 0.0:
         return None
-    spans = [s for s in LEASE_SPANS if span <= s <= record.binds_for]
+    spans = [s for s in LEASE_SPANS if span <= s <= record.effective_seconds]
     return next((s for s in spans if age < s), None)
--- a/rowanport/prepaid/batches.py
+++ b/rowanport/prepaid/batches.py
@@ -28,10 +28,10 @@
 LOG = structlog.get_logger(__name__)
 
 # Entries that the store takes in one write.
-MOST_ENTRIES = 32
+MAX_ENTRIES = 32
 # Budgets in one batch: a condition and a write for each of them and for the
 # own record, and a write for each lease.
-BATCH_LIMIT = (MOST_ENTRIES - 2 - len(LEASE_SPANS)) // 2
+BATCH_LIMIT = (MAX_ENTRIES - 2 - len(LEASE_SPANS)) // 2
 # Writes of one batch in a row that others' writes may overtake.
 CONFLICT_TRIES = 8
 BUDGET_PREFIX = "rowanport/budget/"
@@ -46,38 +46,38 @@
 class Batch:
     """Moves between the store and this router, written together.
 
-    :ivar wishes: tokens wished by budget; negative to give back
-    :ivar asked: tokens asked for by budget by the writes last made: what the
-        wishes come to once the store's records are known
+    :ivar planned_draws: tokens wished by budget; negative to give back
+    :ivar requested: tokens asked for by budget by the writes last made: what
+        the planned draws come to once the store's records are known
     :ivar moves: tokens moved by budget by these writes
     :ivar reported: tokens spent by budget that these writes count
     :ivar writes: the writes last made, or None if they are to be made anew
     :ivar allowance: the limits in these writes
-    :ivar unsure: whether they may have taken effect unheard
+    :ivar uncertain: whether they may have taken effect unheard
     """
 
     __slots__ = (
         "number",
-        "wishes",
-        "asked",
+        "planned_draws",
+        "requested",
         "moves",
         "reported",
         "writes",
         "allowance",
         "record",
-        "unsure",
+        "uncertain",
     )
 
-    def __init__(self, number, wishes):
+    def __init__(self, number, planned_draws):
         self.number = number
-        self.wishes = wishes
-        self.asked = {}
+        self.planned_draws = planned_draws
+        self.requested = {}
         self.moves = {}
         self.reported = {}
         self.writes = None
         self.allowance = None
         self.record = None
-        self.unsure = False
+        self.uncertain = False
 
 
 class BatchWriter:
@@ -110,34 +110,34 @@
         # What an earlier run knew to be spent and no budget's record counts.
         self._inherited_spent = {}
         # Budgets of which the own record names tokens that this run spent.
-        self._named_spent = set()
+        self._recorded_spent = set()
         self.batch = None
         self.on_record = None
 
     @property
-    def unsure(self):
+    def uncertain(self):
         """Return whether a batch's fate is unknown."""
-        return self.batch is not None and self.batch.unsure
+        return self.batch is not None and self.batch.uncertain
 
-    def begin(self, wishes):
+    def begin(self, planned_draws):
         """Start a batch of wishes; it is made by :meth:`write`."""
         self._number += 1
-        self.batch = Batch(self._number, wishes)
+        self.batch = Batch(self._number, planned_draws)
 
-    def drop(self):
+    def discard(self):
         """Forget a batch that the store surely did not take; return it."""
         batch = self.batch
         self.batch = None
         if batch.allowance is not None:
-            self._allowances.drop(batch.allowance)
+            self._allowances.discard(batch.allowance)
         return batch
 
     # Batches
 
-    async def write(self, books):
+    async def write(self, refill):
         """Write the batch at hand; return it once it stands in the store.
 
-        :param books: the Refill, which tells what the accounts hold now
+        :param refill: the Refill, which tells what the accounts hold now
         :returns: the Batch, or None if others' writes kept overtaking it
         :raises StoreBusy: the store refused it
         :raises StoreError: its fate is unknown
@@ -145,61 +145,63 @@
         batch = self.batch
         for _try in range(CONFLICT_TRIES):
             if batch.writes is None:
-                await self._leases.begin()
-                self._make_writes(batch, books)
+                await self._leases.refresh()
+                self._build_writes(batch, refill)
             try:
                 version = await self._store.commit(batch.writes)
             except StoreConflict as conflict:
-                self._take_values(batch, conflict.values)
-                if self._stands(batch):
+                self._update_values(batch, conflict.values)
+                if self._is_committed(batch):
                     return self._finish(batch)
                 # Writes with older versions can no longer take effect.
-                self._forget_writes(batch)
-                if self._missed_record():
+                self._discard_writes(batch)
+                if self._has_unrecovered_record():
                     self._recovered = False
                     raise StoreBusy("an earlier run's record turned up")
                 continue
             except LeaseOver:
                 # Neither this send nor an earlier one can take effect now,
                 # unless an earlier one has: the condition tells.
-                self._forget_leases(batch)
+                self._discard_leases(batch)
                 continue
             except StoreBusy:
                 # An earlier send of the same writes may still take effect.
-                if not batch.unsure:
-                    self._forget_writes(batch)
+                if not batch.uncertain:
+                    self._discard_writes(batch)
                 raise
             except StoreError:
-                batch.unsure = True
+                batch.uncertain = True
                 raise
-            self._note_written(batch.writes, version)
+            self._record_written(batch.writes, version)
             return self._finish(batch)
         return None
 
-    def _forget_leases(self, batch):
+    def _discard_leases(self, batch):
         """Send the same writes again without the leases that have ended."""
-        self._leases.forget()
+        self._leases.discard()
         batch.writes = [w for w in batch.writes if w.lease is None]
 
-    def _forget_writes(self, batch):
-        self._allowances.drop(batch.allowance)
+    def _discard_writes(self, batch):
+        self._allowances.discard(batch.allowance)
         batch.writes = None
-        batch.unsure = False
+        batch.uncertain = False
 
-    def _make_writes(self, batch, books):
+    def _build_writes(self, batch, refill):
         writes = []
-        unreported = books.unreported()
-        for name, wish in batch.wishes.items():
+        unreported = refill.unreported()
+        for name, planned_draw in batch.planned_draws.items():
             record = self.record(name).copy()
-            record.set_total(*books.total(name))
-            batch.asked[name] = books.trim(name, wish, record.left)
-            batch.moves[name] = record.move(batch.asked[name])
-            batch.reported[name] = books.spent(name)
+            record.set_total(*refill.total(name))
+            batch.requested[name] = refill.trim(
+                name, planned_draw, record.remaining
+            )
+            batch.moves[name] = record.move(batch.requested[name])
+            batch.reported[name] = refill.spent(name)
             record.spent += unreported.get(name, 0)
             record.spent += self._inherited_spent.get(name, 0)
             writes.append(self._write(BUDGET_PREFIX + name, record))
-        limits = books.limits(batch.moves)
-        inflows = books.inflows()
+        limits = refill.limits(batch.moves)
+        inflows = refill.inflows()
         batch.allowance = Allowance(self._clock.steady(), limits, inflows)
         batch.record = HolderRecord(
             self._incarnation,
@@ -211,21 +213,21 @@
                 name: (
                     inflows[name] + max(0, batch.moves.get(name, 0)),
                     limit.base,
-                    limit.pace,
+                    limit.growth,
                 )
                 for name, limit in limits.items()
             },
-            self._unreported(books, unreported, batch),
-            books.out(limits),
+            self._unreported(refill, unreported, batch),
+            refill.outflows(limits),
             batch.allowance.grows_at,
             batch.allowance.lapses_at,
         )
         writes.append(self._write(self._key, batch.record))
-        writes.extend(self._leases.writes(_mark(batch.record)))
+        writes.extend(self._leases.writes(_record_id(batch.record)))
         self._allowances.add(batch.allowance)
         batch.writes = writes
 
-    def _unreported(self, books, own, batch):
+    def _unreported(self, refill, own, batch):
         """Return what is spent by budget and not counted with a batch.
 
         A next run reports it; this one may end before its next draw.  What was
@@ -233,10 +235,10 @@
 
         :param own: what this run counts, by budget
         """
-        drawn = {n: t for n, t in own.items() if not books.is_borrower(n)}
+        drawn = {n: t for n, t in own.items() if not refill.is_borrower(n)}
         spent = collections.Counter(self._inherited_spent)
         spent.update(drawn)
-        return {n: t for n, t in spent.items() if n not in batch.wishes}
+        return {n: t for n, t in spent.items() if n not in batch.planned_draws}
 
     def may_count_spent(self, name):
         """Return whether the store may count what this run spent of a budget.
@@ -244,20 +246,20 @@
         It does if a batch stands whose answer was lost, and a next run has it
         counted if the own record names it.
         """
-        return self.batch is not None or name in self._named_spent
+        return self.batch is not None or name in self._recorded_spent
 
     def _write(self, key, record):
         value = self._values.get(key)
         return Write(key, record.pack(), value.version if value else 0)
 
-    def _note_written(self, writes, version):
+    def _record_written(self, writes, version):
         for write in writes:
             value = Value(write.data, version)
             self._values[write.key] = value
             if write.key.startswith(BUDGET_PREFIX):
                 self.on_record(write.key.removeprefix(BUDGET_PREFIX), value)
 
-    def _take_values(self, batch, values):
+    def _update_values(self, batch, values):
         for write in batch.writes:
             value = values.get(write.key)
             if value is None:
@@ -265,13 +267,13 @@
             else:
                 self._values[write.key] = value
 
-    def _stands(self, batch):
+    def _is_committed(self, batch):
         own = self._own_record()
         return (
             own.incarnation == self._incarnation and own.number == batch.number
         )
 
-    def _missed_record(self):
+    def _has_unrecovered_record(self):
         """Return whether an earlier run's record is still to be dealt with.
 
         Its tokens could be given back no more once it is written over.
@@ -282,16 +284,16 @@
         return bool(left) and own.incarnation not in known
 
     def _finish(self, batch):
-        self._allowances.settle_on(batch.allowance)
+        self._allowances.confirm(batch.allowance)
         self.batch = None
-        for name in batch.wishes:
+        for name in batch.planned_draws:
             self._inherited_spent.pop(name, None)
-        self._named_spent = set(batch.record.spent)
+        self._recorded_spent = set(batch.record.spent)
         return batch
 
     # Records
 
-    def hear(self, name, value):
+    def merge_record(self, name, value):
         """Take in a budget's record that a peer wrote, if it is newer.
 
         If it is not true after all, the store refuses what builds on it.
@@ -380,23 +382,25 @@
             age = await self._machine_age(old)
         LOG.info(
             "tokens_stranded" if age is None else "tokens_recovered",
-            accounts=_largest_as_log(old.account(age)),
+            accounts=_largest_as_log(old.run_accounts(age)),
             run=old.incarnation,
             age=age,
             steady_age=round(self._started - old.made_at, 3),
             wall_age=round(self._latest_start() - old.earliest, 3),
-            clocks=self._clocks.heard,
+            clocks=self._clocks.has_recent_peers,
         )
         return {} if age is None else old.unspent(age)
 
     async def _machine_age(self, old):
-        span = await self._leases.shortest(_mark(old))
+        span = await self._leases.shortest(_record_id(old))
         deadline = self._clock.steady() + CLOCKS_WAIT
-        while span is not None and not self._clocks.heard:
+        while span is not None and not self._clocks.has_recent_peers:
             if self._clock.steady() > deadline:
                 break
             await asyncio.sleep(CLOCKS_POLL)
-        return machine_age(old, span, self._clocks.heard, self._latest_start())
+        return machine_age(
+            old, span, self._clocks.has_recent_peers, self._latest_start()
+        )
 
     def _latest_start(self):
         """Return the latest wall time of any clock when this run began."""
@@ -421,13 +425,13 @@
                 version = await self._store.commit(writes)
             except StoreConflict as conflict:
                 own = self._values.get(self._key)
-                self._take_values(batch, conflict.values)
+                self._update_values(batch, conflict.values)
                 now = self._values.get(self._key)
                 if now is None or now.version != own.version:
                     # An earlier send of this very write took effect.
                     raise StoreBusy("recovered meanwhile") from None
                 continue
-            self._note_written(writes, version)
+            self._record_written(writes, version)
             return
         raise StoreBusy("others write the same budgets")
 
@@ -438,6 +442,6 @@
     return {name: a.as_log() for name, a in largest[:LOGGED_BUDGETS]}
 
 
-def _mark(record):
+def _record_id(record):
     """Return what the keys of leases hold: the record they go with."""
     return f"{record.incarnation} {record.number}".encode()
--- a/rowanport/prepaid/clocks.py
+++ b/rowanport/prepaid/clocks.py
@@ -6,7 +6,7 @@
 """
 
 # Seconds for which a peer's clock is taken as heard.
-HEARD_SECONDS = 5.0
+OFFSET_SECONDS = 5.0
 
 
 class FleetClocks:
@@ -24,19 +24,23 @@
         now = self._clock.steady()
         self._offsets[peer] = (wall - self._clock.wall(), now)
 
-    def _fresh(self):
-        limit = self._clock.steady() - HEARD_SECONDS
-        return [off for off, heard in self._offsets.values() if heard > limit]
+    def _recent_offsets(self):
+        limit = self._clock.steady() - OFFSET_SECONDS
+        return [
+            off
+            for off, observed_at in self._offsets.values()
+            if observed_at > limit
+        ]
 
     @property
-    def heard(self):
+    def has_recent_peers(self):
         """Return whether any peer's clock was heard lately."""
-        return bool(self._fresh())
+        return bool(self._recent_offsets())
 
     def earliest(self):
         """Return the earliest wall time that any clock shows now."""
-        return self._clock.wall() + min([0.0, *self._fresh()])
+        return self._clock.wall() + min([0.0, *self._recent_offsets()])
 
     def latest(self):
         """Return the latest wall time that any clock shows now."""
-        return self._clock.wall() + max([0.0, *self._fresh()])
+        return self._clock.wall() + max([0.0, *self._recent_offsets()])
--- a/rowanport/prepaid/exhaustion.py
+++ b/rowanport/prepaid/exhaustion.py
@@ -5,7 +5,7 @@
 from .account import HORIZON
 
 # Least time in seconds after which a caller of a dry budget should return.
-DRY_RETURN = 1.0
+MIN_RETRY_SECONDS = 1.0
 
 
 class Exhaustion:
@@ -35,10 +35,11 @@
                 ErrorKind.BUDGET_SPENT,
                 f"{tokens} tokens needed, {account.unspent} left at most",
             )
-        room = self._refill.room(account)
+        headroom = self._refill.headroom(account)
         return RequestError(
             ErrorKind.BUDGET_EXHAUSTED,
-            f"{tokens} tokens needed, {account.available} held, room {room}",
+            f"{tokens} tokens needed, {account.available} held, "
+            f"headroom {headroom}",
             come_back_at=self._come_back_at(account, tokens),
         )
 
@@ -49,12 +50,12 @@
         What is lacking comes with the store, once it is back, or by a
         request that ends.
         """
-        if account.unanswered:
+        if account.loan_unanswered:
             # This router is badly connected: another one may have tokens.
             return self._clock.steady()
-        soon = self._clock.steady() + DRY_RETURN
+        soon = self._clock.steady() + MIN_RETRY_SECONDS
         if account.available >= tokens:
-            return self._refill.room_at(account, tokens)
+            return self._refill.allowed_at(account, tokens)
         if self.store_lost_at is not None:
             return max(soon, self.store_lost_at + HORIZON)
         return soon
--- a/rowanport/prepaid/handoff.py
+++ b/rowanport/prepaid/handoff.py
@@ -22,21 +22,21 @@
 LOG = structlog.get_logger(__name__)
 
 # Peers that share what a stopping router held.
-HEIRS = 3
+RECIPIENTS = 3
 # Peers that are asked first whether they take tokens, and seconds for the
 # answer: a few round trips between data centres.  A connection that turned
 # silent, or a peer that stops, is found before any token depends on it.
 CANDIDATES = 6
-GREET_TIMEOUT = 0.15
+PROBE_TIMEOUT = 0.15
 # Seconds for each try of a hand-over, and between two of them.
-TRY_TIMEOUT = 0.4
-TRY_PAUSE = 0.2
+ATTEMPT_TIMEOUT = 0.4
+ATTEMPT_PAUSE = 0.2
 # Seconds after which no try follows, and for which an heir remembers what it
 # took: far longer, as a try may be on its way while its link is down.
-TRY_SECONDS = 10.0
+RETRY_SECONDS = 10.0
 REPLY_MEMORY = 600.0
 # Between the heir and the random part in a hand-over's id.
-ID_MARK = "~"
+ID_SEPARATOR = "~"
 
 
 class Handoffs:
@@ -79,9 +79,9 @@
         )
         sender = address_of(message.sender)
         for name, tokens in message.tokens.items():
-            self._keeper.inherit(name, tokens, sender)
+            self._keeper.accept_handoff(name, tokens, sender)
         for name, tokens in message.spent.items():
-            self._keeper.count_spent(name, tokens)
+            self._keeper.add_spent(name, tokens)
         return Ack()
 
     def _refusal(self, message):
@@ -94,92 +94,98 @@
         return None
 
     def _is_for_this_run(self, message):
-        heir, mark, _random = message.id.partition(ID_MARK)
-        return not mark or heir == self._incarnation
+        recipient, mark, _random = message.id.partition(ID_SEPARATOR)
+        return not mark or recipient == self._incarnation
 
     # Passing on
 
-    async def find_heirs(self):
+    async def find_recipients(self):
         """Return ready peers that answer and take tokens now."""
         candidates = self._members.ready_others()[:CANDIDATES]
-        calls = [self._is_willing(peer) for peer in candidates]
+        calls = [self._accepts_tokens(peer) for peer in candidates]
         answers = await asyncio.gather(*calls)
-        heirs = [p for p, willing in zip(candidates, answers) if willing]
-        return heirs[:HEIRS]
+        recipients = [p for p, willing in zip(candidates, answers) if willing]
+        return recipients[:RECIPIENTS]
 
-    async def _is_willing(self, peer):
+    async def _accepts_tokens(self, peer):
         try:
             answer = await self._peers.call(
-                address_of(peer), self._message(peer, {}, {}), GREET_TIMEOUT
+                address_of(peer), self._message(peer, {}, {}), PROBE_TIMEOUT
             )
         except PeerError as error:
             LOG.info("heir_unanswered", heir=peer, error=str(error))
             return False
         return isinstance(answer, Ack)
 
-    def _message(self, heir, tokens, spent):
+    def _message(self, recipient, tokens, spent):
         return HandOver(
-            f"{heir}{ID_MARK}{new_id()}", self._incarnation, tokens, spent
+            f"{recipient}{ID_SEPARATOR}{new_id()}",
+            self._incarnation,
+            tokens,
+            spent,
         )
 
-    async def pass_on(self, heirs, tokens, deadline):
+    async def distribute(self, recipients, tokens, deadline):
         """Pass tokens by budget on to some peers, in even shares.
 
         Those without an answer by then are sent again meanwhile.
 
         :param deadline: steady time after which not to wait for answers
         """
-        shares = _split(tokens, len(heirs))
+        shares = _split(tokens, len(recipients))
         tasks = [
-            self._tasks.spawn(self._pass_share(heir, share, {}))
-            for heir, share in zip(heirs, shares)
+            self._tasks.spawn(self._send_share(recipient, share, {}))
+            for recipient, share in zip(recipients, shares)
             if share
         ]
         if tasks:
             left = max(0.0, deadline - self._clock.steady())
-            await asyncio.wait(tasks, timeout=min(TRY_TIMEOUT, left))
+            await asyncio.wait(tasks, timeout=min(ATTEMPT_TIMEOUT, left))
 
-    def send(self, heir, tokens, spent):
+    def send(self, recipient, tokens, spent):
         """Pass tokens by budget on to one peer; return at once.
 
         :param spent: tokens by budget that it is to count as used
         """
-        self._tasks.spawn(self._pass_share(heir, tokens, spent))
+        self._tasks.spawn(self._send_share(recipient, tokens, spent))
 
-    async def _pass_share(self, heir, tokens, spent):
-        message = self._message(heir, tokens, spent)
-        self._unanswered[message.id] = (heir, tokens)
-        answer = await self._send(heir, message)
+    async def _send_share(self, recipient, tokens, spent):
+        message = self._message(recipient, tokens, spent)
+        self._unanswered[message.id] = (recipient, tokens)
+        answer = await self._send(recipient, message)
         del self._unanswered[message.id]
         if isinstance(answer, Ack):
             LOG.info(
-                "tokens_handed_over", heir=heir, tokens=tokens, spent=spent
+                "tokens_handed_over",
+                heir=recipient,
+                tokens=tokens,
+                spent=spent,
             )
         elif _is_refused(answer):
-            LOG.info("hand_over_refused", heir=heir, tokens=tokens)
-            self._keeper.put_back(tokens)
-            self._keeper.put_back_spent(spent)
+            LOG.info("hand_over_refused", heir=recipient, tokens=tokens)
+            self._keeper.cancel_debits(tokens)
+            self._keeper.cancel_spent_reports(spent)
         else:
             # The heir may have them: nobody may be given the same tokens.
-            LOG.warning("tokens_stranded", heir=heir, tokens=tokens)
+            LOG.warning("tokens_stranded", heir=recipient, tokens=tokens)
 
-    async def _send(self, heir, message):
+    async def _send(self, recipient, message):
         """Send a hand-over until it is answered; return None if it is not."""
-        last_try_at = self._clock.steady() + TRY_SECONDS
+        last_try_at = self._clock.steady() + RETRY_SECONDS
         while self._clock.steady() < last_try_at:
             try:
                 return await self._peers.call(
-                    address_of(heir), message, TRY_TIMEOUT
+                    address_of(recipient), message, ATTEMPT_TIMEOUT
                 )
             except PeerError as error:
-                LOG.info("hand_over_failed", heir=heir, error=str(error))
-            await asyncio.sleep(TRY_PAUSE)
+                LOG.info("hand_over_failed", heir=recipient, error=str(error))
+            await asyncio.sleep(ATTEMPT_PAUSE)
         return None
 
     def report(self):
         """Log the hand-overs that have had no answer yet."""
-        for heir, tokens in self._unanswered.values():
-            LOG.warning("hand_over_unanswered", heir=heir, tokens=tokens)
+        for recipient, tokens in self._unanswered.values():
+            LOG.warning("hand_over_unanswered", heir=recipient, tokens=tokens)
 
 
 def _is_refused(answer):
--- a/rowanport/prepaid/holders.py
+++ b/rowanport/prepaid/holders.py
@@ -16,10 +16,10 @@
 # Seconds after the start during which a router may not know the others yet:
 # heartbeats are 0.8 s apart, and machines that lost power together are back
 # within a second of each other.
-LEARN_SECONDS = 3.0
+DISCOVERY_SECONDS = 3.0
 # Seconds for which a router draws that reaches no holder: by then one is back
 # after a loss of power, or others have taken its place.
-ALONE_SECONDS = 3.0
+FALLBACK_SECONDS = 3.0
 
 
 class Holders:
@@ -41,7 +41,7 @@
         self._chosen = {}
         self._chosen_among = None
         # Steady times until which this router draws for want of holders.
-        self._alone_until = {}
+        self._fallback_until = {}
 
     @property
     def is_large(self):
@@ -49,16 +49,16 @@
         return len(self._routers()) > SMALL_FLEET
 
     @property
-    def young(self):
+    def is_starting(self):
         """Return whether this router may not know the others yet."""
-        return self._clock.steady() < self._started + LEARN_SECONDS
+        return self._clock.steady() < self._started + DISCOVERY_SECONDS
 
-    def of(self, name):
+    def for_budget(self, name):
         """Return the addresses of routers that draw on a budget.
 
         There are none while all routers stop.
         """
-        routers = self.drawing()
+        routers = self.drawing_routers()
         if not self.is_large:
             return routers
         if routers is not self._chosen_among:
@@ -72,19 +72,19 @@
 
     def is_holder(self, name):
         """Return whether this router draws on a budget."""
-        if self._address in self.of(name):
+        if self._address in self.for_budget(name):
             return True
         now = self._clock.steady()
-        if now < self._alone_until.get(name, 0.0):
+        if now < self._fallback_until.get(name, 0.0):
             return True
         account = self._accounts.get(name)
-        return account is not None and account.is_heavy(HOLDERS, now)
+        return account is not None and account.has_heavy_demand(HOLDERS, now)
 
-    def draw_alone(self, name):
+    def allow_fallback_draw(self, name):
         """Let this router draw on a budget for a while: no holder answers."""
-        self._alone_until[name] = self._clock.steady() + ALONE_SECONDS
+        self._fallback_until[name] = self._clock.steady() + FALLBACK_SECONDS
 
-    def drawing(self):
+    def drawing_routers(self):
         """Return the addresses of routers that draw on any budget."""
         if self.is_large:
             return self._members.delegates(STORE_DUTY, HOLDERS, DRAWING_SHARE)
@@ -104,7 +104,7 @@
         While all routers stop nobody draws on it, and this one still holds
         some.
         """
-        return max(1, len(self.of(name)))
+        return max(1, len(self.for_budget(name)))
 
     def sharer_count(self, name):
         """Return by how many routers to share a budget when drawing on it.
@@ -113,4 +113,4 @@
         it would leave the others nothing until it has given it back.
         """
         count = self.count(name)
-        return max(count, SMALL_FLEET) if self.young else count
+        return max(count, SMALL_FLEET) if self.is_starting else count
--- a/rowanport/prepaid/keeper.py
+++ b/rowanport/prepaid/keeper.py
@@ -19,7 +19,7 @@
 from .handoff import Handoffs
 from .holders import Holders
 from .loan_returns import LoanReturns
-from .loans import Asked
+from .loans import LoanResult
 from .loans import Loans
 from .notifier import RecordNotifier
 from .refill import Refill
@@ -28,7 +28,7 @@
 
 # Seconds between two looks at all accounts while nobody waits: a draw covers
 # seconds of demand, so this delays nothing.
-TICK = 0.35
+CHECK_INTERVAL = 0.35
 # Shortest time in seconds between two batches while requests wait, and after
 # the store failed.
 URGENT_PAUSE = 0.02
@@ -38,15 +38,15 @@
 RESERVE_WAIT = 0.14
 # Longest wait in seconds for a limit that soon lets tokens go, half of the
 # objective of a stream: served so, a request is still in time.
-ROOM_WAIT = 0.4
+LIMIT_WAIT = 0.4
 # Seconds added to such a wait, so that the limit surely has grown.
-ROOM_MARGIN = 0.005
+LIMIT_MARGIN = 0.005
 # Seconds in which a router that draws tokens has drawn, and opened its limits:
 # after these a router that draws none asks again, and one that is held back by
 # a limit asks others.
-ASK_AGAIN = 0.03
+RETRY_PAUSE = 0.03
 # Seconds for which a budget is called dry after nobody had tokens.
-DRY_SECONDS = 0.25
+EXHAUSTED_SECONDS = 0.25
 # Seconds between two log lines about what is held, and budgets in one.
 REPORT_SECONDS = 5.0
 REPORT_BUDGETS = 20
@@ -55,20 +55,20 @@
 # Longest time in seconds of a hand-over: what a planned stop leaves for it.
 HANDOFF_SECONDS = 0.7
 # Seconds between two looks whether all is given back.
-GIVE_BACK_POLL = 0.01
+RETURN_POLL = 0.01
 
 
 class _Waiter:
     """A request that waits for tokens.
 
-    :ivar patient: whether it waits for a limit that soon lets it go
+    :ivar waits_for_limit: whether it waits for a limit that soon lets it go
     """
 
-    __slots__ = ("tokens", "patient", "future")
+    __slots__ = ("tokens", "waits_for_limit", "future")
 
-    def __init__(self, tokens, patient):
+    def __init__(self, tokens, waits_for_limit):
         self.tokens = tokens
-        self.patient = patient
+        self.waits_for_limit = waits_for_limit
         self.future = asyncio.get_running_loop().create_future()
 
 
@@ -109,11 +109,11 @@
             clock,
         )
         self._tasks = TaskSet()
-        self._askers = {}
+        self._loan_tasks = {}
         self._wake = asyncio.Event()
         self._exhaustion = Exhaustion(self._refill, clock)
         self._next_report = 0.0
-        self._kept = {}
+        self._withheld = {}
 
     @property
     def accounts(self):
@@ -127,7 +127,7 @@
 
     def holders(self, name):
         """Return the addresses of routers that draw on a budget."""
-        return self._holders.of(name)
+        return self._holders.for_budget(name)
 
     def is_holder(self, name):
         """Return whether this router draws on a budget."""
@@ -156,9 +156,9 @@
             account = self._accounts[name] = Account(name)
         return account
 
-    def room(self, account):
+    def headroom(self, account):
         """Return the tokens of an Account that may go out, None for all."""
-        return self._refill.room(account)
+        return self._refill.headroom(account)
 
     # Requests
 
@@ -169,22 +169,22 @@
         """
         now = self._clock.steady()
         account = self._account(name)
-        account.note_demand(tokens, now)
+        account.record_demand(tokens, now)
         if self._reserve(account, tokens):
             return
-        room_at = self._room_soon_at(account, tokens)
-        if room_at is None and (
-            now < account.dry_until
+        allowed_at = self._allowed_soon_at(account, tokens)
+        if allowed_at is None and (
+            now < account.exhausted_until
             or self._exhaustion.is_spent(account, tokens)
         ):
             raise self._exhaustion.error(account, tokens)
-        waiter = _Waiter(tokens, room_at is not None)
-        account.waiting.append(waiter)
+        waiter = _Waiter(tokens, allowed_at is not None)
+        account.waiters.append(waiter)
         self._wake.set()
-        self._start_asking(account)
+        self._start_loan_request(account)
         try:
             async with asyncio.timeout(
-                max(RESERVE_WAIT, (room_at or 0) - now)
+                max(RESERVE_WAIT, (allowed_at or 0) - now)
             ):
                 await waiter.future
         except asyncio.TimeoutError:
@@ -194,8 +194,8 @@
                 account.settle(tokens, 0, self._clock.steady())
             raise
         finally:
-            if waiter in account.waiting:
-                account.waiting.remove(waiter)
+            if waiter in account.waiters:
+                account.waiters.remove(waiter)
 
     def try_reserve(self, name, tokens):
         """Set tokens of a budget aside without a wait; return whether."""
@@ -204,18 +204,23 @@
     def _reserve(self, account, tokens):
         """Set tokens aside if there are enough; return whether."""
         now = self._clock.steady()
-        return account.reserve(tokens, self.room(account), now)
+        return account.reserve(tokens, self.headroom(account), now)
 
-    def _room_soon_at(self, account, tokens):
+    def _allowed_soon_at(self, account, tokens):
         """Return the steady time soon at which a limit lets tokens go.
 
         :returns: None if there are too few tokens, or not soon
         """
-        if account.recalled or account.available < account.wanted + tokens:
+        if (
+            account.recalled
+            or account.available < account.waiting_tokens + tokens
+        ):
             return None
-        room_at = self._refill.room_at(account, account.wanted + tokens)
-        soon = room_at <= self._clock.steady() + ROOM_WAIT
-        return room_at + ROOM_MARGIN if soon else None
+        allowed_at = self._refill.allowed_at(
+            account, account.waiting_tokens + tokens
+        )
+        soon = allowed_at <= self._clock.steady() + LIMIT_WAIT
+        return allowed_at + LIMIT_MARGIN if soon else None
 
     def _grant_late(self, account, waiter):
         """Give a waiter its tokens at the end of its wait, or refuse it.
@@ -235,25 +240,25 @@
         """
         account = self._account(name)
         account.settle(tokens, used, self._clock.steady(), spent)
-        self._pump(account)
+        self._serve_waiters(account)
 
-    def _pump(self, account):
-        for waiter in list(account.waiting):
+    def _serve_waiters(self, account):
+        for waiter in list(account.waiters):
             # One that gave up stays listed until its task runs again.
             if waiter.future.done():
                 continue
             if self._reserve(account, waiter.tokens):
-                account.waiting.remove(waiter)
+                account.waiters.remove(waiter)
                 waiter.future.set_result(None)
 
-    def _fail(self, account):
+    def _refuse_waiters(self, account):
         """Refuse all that wait in vain: nobody has tokens."""
-        account.dry_until = self._clock.steady() + DRY_SECONDS
-        for waiter in account.waiting:
-            if not waiter.patient and not waiter.future.done():
+        account.exhausted_until = self._clock.steady() + EXHAUSTED_SECONDS
+        for waiter in account.waiters:
+            if not waiter.waits_for_limit and not waiter.future.done():
                 error = self._exhaustion.error(account, waiter.tokens)
                 waiter.future.set_exception(error)
-        account.waiting = [w for w in account.waiting if w.patient]
+        account.waiters = [w for w in account.waiters if w.waits_for_limit]
 
     # Peers
 
@@ -263,7 +268,7 @@
             return self._loans.handle(message)
         if isinstance(message, BudgetNews):
             value = Value(message.data, message.version)
-            self._refill.hear(message.budget, value)
+            self._refill.merge_record(message.budget, value)
             return Ack()
         return self._handoffs.handle(message)
 
@@ -271,41 +276,41 @@
         """Take in tokens from a peer."""
         account = self._account(name)
         account.credit(tokens)
-        account.dry_until = 0.0
-        self._pump(account)
+        account.exhausted_until = 0.0
+        self._serve_waiters(account)
 
-    def inherit(self, name, tokens, sender):
+    def accept_handoff(self, name, tokens, sender):
         """Take in tokens that a peer hands over.
 
         :param sender: its peer address
         """
         account = self._account(name)
-        if sender in self._holders.of(name):
+        if sender in self._holders.for_budget(name):
             account.credit(tokens)
         else:
-            account.take_back(tokens, self._clock.steady())
-        account.dry_until = 0.0
-        self._pump(account)
+            account.credit_returned(tokens, self._clock.steady())
+        account.exhausted_until = 0.0
+        self._serve_waiters(account)
 
-    def count_spent(self, name, tokens):
+    def add_spent(self, name, tokens):
         """Count tokens that a borrower surely used as this router's own."""
         self._account(name).spent += tokens
 
-    def hear_spent(self, name, tokens):
+    def merge_spent(self, name, tokens):
         """Take in how many tokens were surely used, as a peer knows."""
-        self._account(name).hear_spent(tokens)
+        self._account(name).merge_spent(tokens)
 
-    def put_back_spent(self, tokens):
+    def cancel_spent_reports(self, tokens):
         """Take back by budget what no peer counts after all."""
         for name, amount in tokens.items():
             self._account(name).reported -= amount
 
-    def put_back(self, tokens):
+    def cancel_debits(self, tokens):
         """Take back tokens by budget that nobody else has taken."""
         for name, amount in tokens.items():
             account = self._account(name)
-            account.put_back(amount)
-            self._pump(account)
+            account.cancel_debit(amount)
+            self._serve_waiters(account)
 
     def lend(self, name, tokens, borrower):
         """Return how many tokens are lent to a peer that needs some.
@@ -314,16 +319,16 @@
         """
         account = self._account(name)
         now = self._clock.steady()
-        draws = borrower in self._holders.of(name)
+        draws = borrower in self._holders.for_budget(name)
         if not draws:
             # This is where its demand is seen.
-            account.note_demand(tokens, now)
-        lent = account.lend(tokens, self.room(account), now, draws)
+            account.record_demand(tokens, now)
+        lent = account.lend(tokens, self.headroom(account), now, draws)
         if lent < tokens and not draws and self.is_holder(name):
             # The borrower asks again soon: by then there is more to draw on,
             # and a limit that lets it go.  One that draws itself does so: all
             # that it asks would draw what it lacks as well, for nobody.
-            account.note_unmet(borrower, tokens - lent)
+            account.record_shortfall(borrower, tokens - lent)
             self._wake.set()
         return lent
 
@@ -332,31 +337,31 @@
         account = self._account(name)
         lost = self._exhaustion.store_lost_at is not None
         # What is here only waits for a limit, which the next record opens.
-        dry = self._refill.is_dry(name) and account.available <= 0
-        draws = self.is_holder(name) and not (lost or dry or self.stopping)
+        empty = self._refill.is_store_empty(name) and account.available <= 0
+        draws = self.is_holder(name) and not (lost or empty or self.stopping)
         return NoLoan(name, draws, account.known_spent)
 
-    def _start_asking(self, account):
-        task = self._askers.get(account.name)
+    def _start_loan_request(self, account):
+        task = self._loan_tasks.get(account.name)
         if task is None or task.done():
-            task = self._tasks.spawn(self._ask(account))
-            self._askers[account.name] = task
+            task = self._tasks.spawn(self._request_loan(account))
+            self._loan_tasks[account.name] = task
 
-    async def _ask(self, account):
+    async def _request_loan(self, account):
         if self.is_holder(account.name):
-            if not account.lacking:
+            if not account.shortfall:
                 # A limit holds tokens back: mostly the next record opens it.
                 # In a cut peers may still let some go.
-                await asyncio.sleep(ASK_AGAIN)
+                await asyncio.sleep(RETRY_PAUSE)
             await self._loans.ask_all(account)
         else:
             await self._borrow(account)
-            if account.waiting and not account.unanswered:
-                return self._fail(account)
+            if account.waiters and not account.loan_unanswered:
+                return self._refuse_waiters(account)
         lost = self._exhaustion.store_lost_at is not None
-        in_vain = lost or self._refill.is_dry(account.name)
-        if account.waiting and in_vain:
-            self._fail(account)
+        in_vain = lost or self._refill.is_store_empty(account.name)
+        if account.waiters and in_vain:
+            self._refuse_waiters(account)
 
     async def _borrow(self, account):
         """Ask those that draw, and again as long as they have or draw some.
@@ -364,14 +369,14 @@
         Others are asked last: a dozen of them first, in vain, are four round
         trips out of the 0.14 s that a request waits.
         """
-        asked = await self._loans.ask_holders(account)
-        while account.waiting and asked is Asked.MORE:
-            await asyncio.sleep(ASK_AGAIN)
-            asked = await self._loans.ask_holders(account)
-        if not account.waiting:
+        result = await self._loans.ask_holders(account)
+        while account.waiters and result is LoanResult.AVAILABLE:
+            await asyncio.sleep(RETRY_PAUSE)
+            result = await self._loans.ask_holders(account)
+        if not account.waiters:
             return
-        if asked is Asked.UNANSWERED:
-            self._holders.draw_alone(account.name)
+        if result is LoanResult.UNANSWERED:
+            self._holders.allow_fallback_draw(account.name)
         await self._loans.ask_all(account)
 
     # Store
@@ -387,30 +392,32 @@
             pause = URGENT_PAUSE
             try:
                 written = await self._refill.sync()
-                self._note_store(failing=False)
+                self._record_store_state(failing=False)
                 if written:
-                    self._serve_waiting()
+                    self._serve_all_waiters()
             except StoreError as error:
                 pause = FAILED_PAUSE
-                self._note_store(failing=True, error=error)
+                self._record_store_state(failing=True, error=error)
             await asyncio.sleep(pause)
             if not self._is_urgent():
                 await self._sleep()
 
     def _is_urgent(self):
         """Return whether the next batch is not to wait."""
-        waiting = any(a.waiting for a in self._accounts.values())
-        return waiting or self._refill.is_giving_back
+        waiting = any(a.waiters for a in self._accounts.values())
+        return waiting or self._refill.is_returning
 
-    def _serve_waiting(self):
+    def _serve_all_waiters(self):
         for account in self._accounts.values():
-            self._pump(account)
-            if account.waiting:
-                self._start_asking(account)
+            self._serve_waiters(account)
+            if account.waiters:
+                self._start_loan_request(account)
 
     async def _sleep(self):
         try:
-            async with asyncio.timeout(TICK * (0.75 + random.random() / 2)):
+            async with asyncio.timeout(
+                CHECK_INTERVAL * (0.75 + random.random() / 2)
+            ):
                 await self._wake.wait()
         except asyncio.TimeoutError:
             pass
@@ -425,14 +432,14 @@
         LOG.info(
             "budgets_held",
             routers=1 + len(self._members.others()),
-            holders=len(self._holders.of("")),
+            holders=len(self._holders.for_budget("")),
             held={
-                account.name: (account.available, account.left)
+                account.name: (account.available, account.store_remaining)
                 for account in held[:REPORT_BUDGETS]
             },
         )
 
-    def _note_store(self, failing, error=None):
+    def _record_store_state(self, failing, error=None):
         if failing == (self._exhaustion.store_lost_at is not None):
             return
         self._exhaustion.store_lost_at = (
@@ -444,7 +451,7 @@
 
     def withhold(self, tokens):
         """Keep some tokens by budget from being handed over."""
-        self._kept = tokens
+        self._withheld = tokens
 
     async def hand_off(self):
         """Pass all free tokens on; called as a stop begins and as it ends.
@@ -459,12 +466,12 @@
         self._refill.release()
         self._wake.set()
         await self._wait_for_release()
-        heirs = await self._handoffs.find_heirs()
-        if heirs:
-            tokens = self._take_free()
-            await self._handoffs.pass_on(heirs, tokens, deadline)
+        recipients = await self._handoffs.find_recipients()
+        if recipients:
+            tokens = self._debit_free()
+            await self._handoffs.distribute(recipients, tokens, deadline)
         if is_last:
-            await self._give_back(deadline)
+            await self._return_to_store(deadline)
         self._handoffs.report()
 
     async def _wait_for_release(self):
@@ -476,29 +483,29 @@
                 "limits_not_released", lost_at=self._exhaustion.store_lost_at
             )
 
-    async def _give_back(self, deadline):
+    async def _return_to_store(self, deadline):
         """Give back to the store what no peer took.
 
         :param deadline: steady time after which not to wait for it
         """
-        self._refill.give_back()
+        self._refill.return_all()
         self._wake.set()
-        while self._refill.is_giving_back:
+        while self._refill.is_returning:
             if self._clock.steady() > deadline:
                 lost_at = self._exhaustion.store_lost_at
                 LOG.warning("no_heir", lost_at=lost_at)
                 return
-            await asyncio.sleep(GIVE_BACK_POLL)
+            await asyncio.sleep(RETURN_POLL)
 
-    def _take_free(self):
+    def _debit_free(self):
         """Take out all tokens that may go out now, by budget."""
         tokens = {}
         for name, account in self._accounts.items():
-            room = self.room(account)
-            free = account.available - self._kept.get(name, 0)
-            free = free if room is None else min(free, room)
+            headroom = self.headroom(account)
+            free = account.available - self._withheld.get(name, 0)
+            free = free if headroom is None else min(free, headroom)
             if free > 0:
-                account.take_out(free)
+                account.debit(free)
                 tokens[name] = free
         return tokens
 
--- a/rowanport/prepaid/leases.py
+++ b/rowanport/prepaid/leases.py
@@ -34,16 +34,16 @@
         }
         self._leases = {}
         # Steady time by span at which a lease may have begun at the earliest.
-        self._began = {}
+        self._began_at = {}
 
-    async def begin(self):
+    async def refresh(self):
         """Let all leases begin anew just now, unless they did lately.
 
         A renewal costs a tenth of a grant.
 
         :raises StoreBusy: there are none to be had
         """
-        calls = [self._begin_one(s) for s in self._keys if self._is_old(s)]
+        calls = [self._refresh_one(s) for s in self._keys if self._is_due(s)]
         for error in await asyncio.gather(*calls, return_exceptions=True):
             if isinstance(error, StoreError):
                 # A lease that nobody knows of changes nothing.
@@ -51,14 +51,14 @@
             if error is not None:
                 raise error
 
-    def _is_old(self, span):
+    def _is_due(self, span):
         """Return whether a lease is to begin anew before the next record."""
         if span not in self._leases:
             return True
         now = self._clock.steady()
-        return now >= self._began[span] + REUSE_SHARE * span
+        return now >= self._began_at[span] + REUSE_SHARE * span
 
-    async def _begin_one(self, span):
+    async def _refresh_one(self, span):
         # A renewal without an answer may be done late, when the lease is to
         # have ended: such a lease is not used again.
         lease = self._leases.pop(span, None)
@@ -67,7 +67,7 @@
             began = self._clock.steady()
             lease = await self._store.grant_lease(span)
         self._leases[span] = lease
-        self._began[span] = began
+        self._began_at[span] = began
 
     async def _renew(self, lease):
         """Renew a lease; return whether it had not ended."""
@@ -77,24 +77,24 @@
             return False
         return True
 
-    def forget(self):
+    def discard(self):
         """Use the leases at hand no more."""
         self._leases = {}
 
-    def writes(self, mark):
+    def writes(self, record_id):
         """Return the Writes that keep a record's mark while leases last."""
         return [
-            Write(self._keys[span], mark, None, lease)
+            Write(self._keys[span], record_id, None, lease)
             for span, lease in self._leases.items()
         ]
 
-    async def shortest(self, mark):
+    async def shortest(self, record_id):
         """Return the span of the shortest lease that keeps a mark, or None.
 
         :raises StoreError: it could not be read
         """
         for span, key in self._keys.items():
             value = await self._store.get_value(key)
-            if value.version and value.data == mark:
+            if value.version and value.data == record_id:
                 return span
         return None
--- a/rowanport/prepaid/loan_returns.py
+++ b/rowanport/prepaid/loan_returns.py
@@ -14,11 +14,11 @@
 
 # Seconds between two looks at all accounts: not each time that tokens are
 # drawn for somebody who waits.
-LOOK_SECONDS = 0.25
+CHECK_SECONDS = 0.25
 # Seconds after the last request of a budget for which the rest is kept: a
 # caller's next request, sent when an answer has come, often meets the same
 # router.
-KEEP_SECONDS = 0.5
+IDLE_SECONDS = 0.5
 
 
 class _Share:
@@ -53,45 +53,50 @@
         self._handoffs = handoffs
         self._members = members
         self._clock = clock
-        self._look_at = clock.steady()
+        self._next_check = clock.steady()
 
     def send(self):
         """Send idle tokens and what was spent, each lender at once."""
         now = self._clock.steady()
-        if now < self._look_at:
+        if now < self._next_check:
             return
-        self._look_at = now + LOOK_SECONDS
+        self._next_check = now + CHECK_SECONDS
         idle = [a for a in self._accounts.values() if self._is_idle(a)]
         if not idle:
             return
         ready = {address_of(p): p for p in self._members.ready_others()}
         shares = {}
         for account in idle:
-            holders = self._holders.of(account.name)
+            holders = self._holders.for_budget(account.name)
             lenders = [ready[holder] for holder in holders if holder in ready]
             if lenders:
-                lender = ready.get(account.lender)
+                lender = ready.get(account.last_lender)
                 if lender not in lenders:
                     lender = random.choice(lenders)
-                self._move(account, shares.setdefault(lender, _Share()))
+                self._add_to_share(
+                    account, shares.setdefault(lender, _Share())
+                )
         for lender, share in shares.items():
             self._handoffs.send(lender, share.tokens, share.spent)
 
     def _is_idle(self, account):
-        if account.waiting:
+        if account.waiters:
             return False
-        if account.available <= 0 and self._refill.untold(account) <= 0:
+        if (
+            account.available <= 0
+            and self._refill.reportable_spent(account) <= 0
+        ):
             return False
-        if self._clock.steady() < account.granted_at + KEEP_SECONDS:
+        if self._clock.steady() < account.granted_at + IDLE_SECONDS:
             return False
         return self._refill.is_borrower(account.name)
 
-    def _move(self, account, share):
+    def _add_to_share(self, account, share):
         if account.available > 0:
             share.tokens[account.name] = account.available
-            account.take_out(account.available)
-        untold = self._refill.untold(account)
-        if untold > 0:
-            share.spent[account.name] = untold
+            account.debit(account.available)
+        reportable_spent = self._refill.reportable_spent(account)
+        if reportable_spent > 0:
+            share.spent[account.name] = reportable_spent
             # At once: an answer that names more would count it twice.
-            account.reported += untold
+            account.reported += reportable_spent
--- a/rowanport/prepaid/loans.py
+++ b/rowanport/prepaid/loans.py
@@ -24,9 +24,9 @@
 # Seconds for each later try of an ask, between two of them, and after which
 # none follows: a connection that turned silent is replaced within a second,
 # and what was lent without an answer is lost for good.
-COLLECT_TIMEOUT = 0.4
-COLLECT_PAUSE = 0.1
-COLLECT_SECONDS = 3.0
+RETRY_TIMEOUT = 0.4
+RETRY_PAUSE = 0.1
+RETRY_SECONDS = 3.0
 # Peers asked at once; each lends half of what it has.
 ASK_FANOUT = 3
 # Peers asked in all.
@@ -35,13 +35,13 @@
 REPLY_MEMORY = 30.0
 
 
-class Asked(enum.IntEnum):
+class LoanResult(enum.IntEnum):
     """What came of asking peers; of several answers the highest counts."""
 
     UNANSWERED = 0
-    NOTHING = 1
+    NOT_AVAILABLE = 1
     # Some tokens, or the word of one that has none but draws them now.
-    MORE = 2
+    AVAILABLE = 2
 
 
 class Loans:
@@ -71,14 +71,14 @@
         :returns: the best answer as an Asked
         """
         holders = self._keeper.holders(account.name)
-        others = self._lenders(account)
+        others = self._candidates(account)
         return await self._ask_each(
             account, [address for address in others if address in holders]
         )
 
     async def ask_all(self, account):
         """Ask peers in turn until an account has what it needs."""
-        await self._ask_each(account, self._lenders(account))
+        await self._ask_each(account, self._candidates(account))
 
     async def _ask_each(self, account, others):
         """Ask peers at some addresses; return the best answer as an Asked."""
@@ -86,10 +86,10 @@
         # it is lost if the router ends.
         draws = self._keeper.is_holder(account.name)
         count = ASK_FANOUT if draws else 1
-        best = Asked.UNANSWERED
+        best = LoanResult.UNANSWERED
         while others:
-            room = self._keeper.room(account)
-            tokens = account.loan(room, self._clock.steady())
+            headroom = self._keeper.headroom(account)
+            tokens = account.loan_size(headroom, self._clock.steady())
             if not tokens:
                 break
             wave, others = others[:count], others[count:]
@@ -100,7 +100,7 @@
             count = ASK_FANOUT
         return best
 
-    def _lenders(self, account):
+    def _candidates(self, account):
         """Return the addresses of other live routers, those that draw first.
 
         One that just started has not heard of all that draw, but of where
@@ -113,7 +113,7 @@
         others += filter(self._members.is_unheard, holders)
         random.shuffle(others)
         others.sort(key=lambda address: address not in holders)
-        others.sort(key=lambda address: address != account.lender)
+        others.sort(key=lambda address: address != account.last_lender)
         return others[:ASK_LIMIT]
 
     async def _ask(self, account, address, tokens):
@@ -122,33 +122,37 @@
         try:
             answer = await self._peers.call(address, message, ASK_TIMEOUT)
         except PeerError:
-            account.unanswered = True
+            account.loan_unanswered = True
             self._members.suspect_address(address)
             # Its answer may have been lost: ask on for the same loan.
-            self._tasks.spawn(self._collect(account, address, message))
-            return Asked.UNANSWERED
-        account.unanswered = False
+            self._tasks.spawn(self._retry(account, address, message))
+            return LoanResult.UNANSWERED
+        account.loan_unanswered = False
         if isinstance(answer, NoLoan):
-            self._keeper.hear_spent(answer.budget, answer.spent)
-            return Asked.MORE if answer.draws else Asked.NOTHING
+            self._keeper.merge_spent(answer.budget, answer.spent)
+            return (
+                LoanResult.AVAILABLE
+                if answer.draws
+                else LoanResult.NOT_AVAILABLE
+            )
         if not isinstance(answer, Lent):
-            return Asked.NOTHING
-        account.lender = address
-        self._take_loan(account, answer, address)
-        return Asked.MORE
+            return LoanResult.NOT_AVAILABLE
+        account.last_lender = address
+        self._credit_loan(account, answer, address)
+        return LoanResult.AVAILABLE
 
-    async def _collect(self, account, address, message):
-        last_try_at = self._clock.steady() + COLLECT_SECONDS
+    async def _retry(self, account, address, message):
+        last_try_at = self._clock.steady() + RETRY_SECONDS
         while self._clock.steady() < last_try_at:
             try:
                 answer = await self._peers.call(
-                    address, message, COLLECT_TIMEOUT
+                    address, message, RETRY_TIMEOUT
                 )
             except PeerError as error:
                 failure = error
-                await asyncio.sleep(COLLECT_PAUSE)
+                await asyncio.sleep(RETRY_PAUSE)
                 continue
-            self._take_loan(account, answer, address)
+            self._credit_loan(account, answer, address)
             return
         LOG.info(
             "loan_unanswered",
@@ -157,7 +161,7 @@
             error=str(failure),
         )
 
-    def _take_loan(self, account, answer, address):
+    def _credit_loan(self, account, answer, address):
         if not isinstance(answer, Lent):
             return
         LOG.info(
--- a/rowanport/prepaid/record.py
+++ b/rowanport/prepaid/record.py
@@ -6,7 +6,7 @@
 from .allowance import Limit
 
 # Seconds for which limits in records of earlier versions bind.
-EARLIER_HOLD_SECONDS = 2.6
+OLD_HOLD_SECONDS = 2.6
 # Digits of seconds between two times of a record: its reader gets the very
 # spans that its writer kept to.
 SPAN_DIGITS = 3
@@ -32,7 +32,7 @@
         self.spent = spent
 
     @property
-    def left(self):
+    def remaining(self):
         """Return the tokens that may still be taken."""
         return max(0, self.total - self.taken)
 
@@ -64,7 +64,7 @@
 
         :returns: tokens moved; never more than are left
         """
-        moved = min(tokens, self.left)
+        moved = min(tokens, self.remaining)
         self.taken += moved
         return moved
 
@@ -149,11 +149,11 @@
         # Those of earlier versions grew at once, and bound for less long.
         self.grows_at = made_at if grows_at is None else grows_at
         if lapses_at is None:
-            lapses_at = made_at + EARLIER_HOLD_SECONDS
+            lapses_at = made_at + OLD_HOLD_SECONDS
         self.lapses_at = lapses_at
 
     @property
-    def binds_for(self):
+    def effective_seconds(self):
         """Return the age in seconds from which its limits bind no more."""
         return round(self.lapses_at - self.made_at, SPAN_DIGITS)
 
@@ -186,10 +186,10 @@
         :param age: seconds after this record by which its writer surely had
             ended; see :mod:`rowanport.prepaid.allowance`
         """
-        accounts = self.account(age)
+        accounts = self.run_accounts(age)
         return {n: a.unspent for n, a in accounts.items() if a.unspent > 0}
 
-    def account(self, age=None):
+    def run_accounts(self, age=None):
         """Return the RunAccount of each budget.
 
         :param age: as for :meth:`unspent`; None if no age is proved, and all
@@ -197,11 +197,11 @@
         """
         accounts = {}
         delay = round(self.grows_at - self.made_at, SPAN_DIGITS)
-        for name, (tokens_in, base, pace) in self.holdings.items():
+        for name, (tokens_in, base, growth) in self.holdings.items():
             out, under_way = self.out.get(name, (0, 0))
             limit = tokens_in
             if age is not None:
-                limit = min(limit, Limit(base, pace, delay).at(age))
+                limit = min(limit, Limit(base, growth, delay).at(age))
             let_go = limit - out
             accounts[name] = RunAccount(tokens_in, out, under_way, let_go)
         return accounts
--- a/rowanport/prepaid/refill.py
+++ b/rowanport/prepaid/refill.py
@@ -17,7 +17,7 @@
 
 # Seconds for which the store is not asked again for a budget that it had too
 # little of.
-STORE_DRY_SECONDS = 2.0
+STORE_EMPTY_SECONDS = 2.0
 # Shortest time in seconds between two records that only widen limits.
 WIDEN_PAUSE = 0.35
 # Seconds after the start before anything is drawn that no request waits for:
@@ -48,7 +48,7 @@
         self._clock = clock
         self._notifier = notifier
         self._totals = ({}, 0)
-        self._dry_until = {}
+        self._store_empty_until = {}
         self._drawn = set()
         self._allowances = Allowances()
         self._writer = BatchWriter(
@@ -59,10 +59,10 @@
             clock,
             clocks,
         )
-        self._writer.on_record = self._note_record
+        self._writer.on_record = self._announce_record
         self._started = clock.steady()
         self._stopping = False
-        self._giving_back = False
+        self._returning = False
         self._released = asyncio.Event()
 
     @property
@@ -83,36 +83,36 @@
         """Take over totals by budget, and their configuration's version."""
         for name, total in totals.items():
             if total != self._totals[0].get(name):
-                self._dry_until.pop(name, None)
+                self._store_empty_until.pop(name, None)
         self._totals = (totals, version)
 
-    def room(self, account):
+    def headroom(self, account):
         """Return the tokens of an account that may go out, None for all."""
-        return self._allowances.room(account, self._clock.steady())
+        return self._allowances.headroom(account, self._clock.steady())
 
-    def room_at(self, account, tokens):
+    def allowed_at(self, account, tokens):
         """Return the steady time from which limits let some tokens go."""
         now = self._clock.steady()
-        return self._allowances.room_at(account, tokens, now)
+        return self._allowances.allowed_at(account, tokens, now)
 
-    def is_dry(self, name):
+    def is_store_empty(self, name):
         """Return whether the store lately had too little of a budget."""
-        return self._clock.steady() < self._dry_until.get(name, 0.0)
+        return self._clock.steady() < self._store_empty_until.get(name, 0.0)
 
     def release(self):
         """Let everything that is held go out, and draw no more."""
         self._stopping = True
 
-    def give_back(self):
+    def return_all(self):
         """Give back everything that is held, and what comes in from now on."""
-        self._giving_back = True
+        self._returning = True
 
     @property
-    def is_giving_back(self):
+    def is_returning(self):
         """Return whether there is anything left to give back."""
-        if not self._giving_back:
+        if not self._returning:
             return False
-        return self._writer.batch is not None or bool(self._last_wishes())
+        return self._writer.batch is not None or bool(self._plan_returns())
 
     # Steps
 
@@ -126,38 +126,44 @@
         try:
             return await self._step()
         except StoreBusy:
-            if self._writer.batch and not self._writer.unsure:
-                self._put_back(self._writer.drop())
+            if self._writer.batch and not self._writer.uncertain:
+                self._cancel_returns(self._writer.discard())
             raise
 
     async def _step(self):
         if not self._writer.recovered:
             await self._writer.recover()
         if self._writer.batch is None:
-            wishes = self._last_wishes() if self._stopping else self._wishes()
-            if not wishes and not self._is_record_due():
+            planned_draws = (
+                self._plan_returns() if self._stopping else self._plan_draws()
+            )
+            if not planned_draws and not self._is_record_due():
                 return False
-            self._begin(wishes)
+            self._begin(planned_draws)
         return await self._write()
 
-    def _wishes(self):
+    def _plan_draws(self):
         now = self._clock.steady()
         too_early = self._is_too_early(now)
-        wishes = {}
+        planned_draws = {}
         for name, account in self._accounts.items():
             if not self._holders.is_holder(name):
-                if self._is_to_give_back(account):
-                    wishes[name] = -account.available
+                if self._must_return(account):
+                    planned_draws[name] = -account.available
                 continue
-            needed = account.lacking or account.unmet
+            needed = account.shortfall or account.borrower_shortfall
             if not needed and too_early:
                 continue
-            wish = account.wish(self._holders.sharer_count(name), now)
-            if wish > 0 and now < self._dry_until.get(name, 0.0):
+            planned_draw = account.planned_draw(
+                self._holders.sharer_count(name), now
+            )
+            if planned_draw > 0 and now < self._store_empty_until.get(
+                name, 0.0
+            ):
                 continue
-            if wish or account.recalled:
-                wishes[name] = wish
-        return dict(list(wishes.items())[:BATCH_LIMIT])
+            if planned_draw or account.recalled:
+                planned_draws[name] = planned_draw
+        return dict(list(planned_draws.items())[:BATCH_LIMIT])
 
     def _is_too_early(self, now):
         """Return whether most routers of a fleet would draw in vain now.
@@ -172,16 +178,16 @@
         )
         return now < self._started + delay
 
-    def _is_to_give_back(self, account):
+    def _must_return(self, account):
         """Return whether a router still holds what it drew as a holder.
 
         A router that just started may have taken the fleet for small.
         """
-        return account.name in self._drawn and not self._holders.young
+        return account.name in self._drawn and not self._holders.is_starting
 
-    def _last_wishes(self):
+    def _plan_returns(self):
         """Return what to give back at the end of a planned stop."""
-        if not self._giving_back:
+        if not self._returning:
             return {}
         held = [a for a in self.held() if a.available > 0]
         return {a.name: -a.available for a in held[:BATCH_LIMIT]}
@@ -194,36 +200,39 @@
         held = self.held()
         if self._stopping and not self._released.is_set():
             return True
-        if not self._drawn and self._address not in self._holders.drawing():
+        if (
+            not self._drawn
+            and self._address not in self._holders.drawing_routers()
+        ):
             # What was only borrowed is not written down.
             return False
         now = self._clock.steady()
         if now > newest.made_at + RENEW_SECONDS:
             return True
-        if any(self._is_held_back(account) for account in held):
+        if any(self._is_limited(account) for account in held):
             return True
         if now < newest.made_at + WIDEN_PAUSE:
             return False
-        return any(self._is_narrow(account) for account in held)
+        return any(self._is_limit_low(account) for account in held)
 
-    def _is_held_back(self, account):
+    def _is_limited(self, account):
         """Return whether a limit, not a lack, makes somebody wait.
 
         A borrower takes a part of what it lacks, a request does not.
         """
-        room = self.room(account)
-        if room is None:
+        headroom = self.headroom(account)
+        if headroom is None:
             return False
-        if room < min(account.unmet, account.available):
+        if headroom < min(account.borrower_shortfall, account.available):
             return True
-        return room < account.wanted <= account.available
+        return headroom < account.waiting_tokens <= account.available
 
-    def _is_narrow(self, account):
-        room = self.room(account)
-        if room is None or room >= account.available:
+    def _is_limit_low(self, account):
+        headroom = self.headroom(account)
+        if headroom is None or headroom >= account.available:
             return False
         allowance = self._allowance(account)
-        return room < (1 - ALLOWANCE_USED) * allowance
+        return headroom < (1 - ALLOWANCE_USED) * allowance
 
     def held(self):
         """Return the accounts that ever held tokens."""
@@ -243,34 +252,34 @@
         """
         base = min(inflow, account.outflow + self._allowance(account))
         holders = self._holders.count(account.name)
-        return Limit(base, account.pace(holders, self._clock.steady()))
+        return Limit(base, account.limit_growth(holders, self._clock.steady()))
 
-    def _begin(self, wishes):
-        for name, wish in wishes.items():
-            if wish < 0:
+    def _begin(self, planned_draws):
+        for name, planned_draw in planned_draws.items():
+            if planned_draw < 0:
                 # Tokens on their way back are nobody's to spend.
-                self._accounts[name].take_out(-wish)
-        self._writer.begin(wishes)
+                self._accounts[name].debit(-planned_draw)
+        self._writer.begin(planned_draws)
 
-    def _put_back(self, batch):
-        for name, wish in batch.wishes.items():
-            if wish < 0:
-                self._accounts[name].put_back(-wish)
+    def _cancel_returns(self, batch):
+        for name, planned_draw in batch.planned_draws.items():
+            if planned_draw < 0:
+                self._accounts[name].cancel_debit(-planned_draw)
 
     # Records of budgets
 
-    def _note_record(self, name, value):
-        self._notifier.notify(self._holders.of(name), name, value)
+    def _announce_record(self, name, value):
+        self._notifier.notify(self._holders.for_budget(name), name, value)
 
-    def hear(self, name, value):
+    def merge_record(self, name, value):
         """Take in what a budget's record says, as a peer wrote it."""
-        self._writer.hear(name, value)
+        self._writer.merge_record(name, value)
         account = self._accounts.get(name)
         if account is not None and self._writer.batch is None:
             # Else the record may count what this router still adds to it.
             account.recorded = self._writer.record(name).spent
 
-    def untold(self, account):
+    def reportable_spent(self, account):
         """Return the tokens spent here that a lender may be told to count.
 
         What the store may count already would be counted twice, and the budget
@@ -287,13 +296,13 @@
         totals, version = self._totals
         return totals.get(name, 0), version
 
-    def trim(self, name, wish, left):
+    def trim(self, name, planned_draw, left):
         """Return what to draw now that the store's record is known.
 
         :param left: tokens left in the store
         """
         count = self._holders.sharer_count(name)
-        return self._accounts[name].trim(wish, count, left)
+        return self._accounts[name].trim(planned_draw, count, left)
 
     def spent(self, name):
         """Return the tokens of a budget that this router surely spent."""
@@ -319,14 +328,14 @@
                 limits[name] = self._limit(account, inflow)
         return limits
 
-    def out(self, names):
+    def outflows(self, names):
         """Return what has gone out of some budgets.
 
         :returns: by budget, tokens that went out or are set aside, and those
             of them that are set aside for requests under way
         """
         accounts = {name: self._accounts[name] for name in names}
-        return {n: (a.outflow, a.under_way) for n, a in accounts.items()}
+        return {n: (a.outflow, a.in_flight) for n, a in accounts.items()}
 
     def inflows(self):
         """Return the tokens that came in so far, by budget."""
@@ -340,24 +349,24 @@
             self._released.set()
         now = self._clock.steady()
         for account in self._accounts.values():
-            account.forget_unmet()
-        for name, asked in batch.asked.items():
+            account.clear_shortfalls()
+        for name, requested in batch.requested.items():
             account = self._accounts[name]
             moved = batch.moves[name]
             drawn = max(0, moved)
             account.credit(drawn)
-            batch.allowance.note_drawn(name, drawn)
+            batch.allowance.add_drawn(name, drawn)
             record = self._writer.record(name)
-            account.note_record(record, batch.reported[name], now)
-            if batch.wishes[name] <= 0:
+            account.apply_record(record, batch.reported[name], now)
+            if batch.planned_draws[name] <= 0:
                 account.recalled = False
             if drawn:
                 self._drawn.add(name)
             elif not self._holders.is_holder(name):
                 self._drawn.discard(name)
-            if moved < asked:
-                self._dry_until[name] = now + STORE_DRY_SECONDS
-        if batch.wishes:
+            if moved < requested:
+                self._store_empty_until[name] = now + STORE_EMPTY_SECONDS
+        if batch.planned_draws:
             LOG.info("budget_batch", number=batch.number, moves=batch.moves)
         return True
 
--- a/test/prepaid_world.py
+++ b/test/prepaid_world.py
@@ -310,8 +310,8 @@
         """Return the Value of a key as it was some time ago."""
         value = self.read(key)
         born = self.born.get(key, 0.0)
-        young = self.loop.now < born + self.old_answers
-        return Value(b"", 0) if young else value
+        is_starting = self.loop.now < born + self.old_answers
+        return Value(b"", 0) if is_starting else value
 
     def apply(self, writes):
         """Do a write if its condition holds; raise StoreConflict if not."""
--- a/test/test_prepaid.py
+++ b/test/test_prepaid.py
@@ -25,7 +25,7 @@
 from rowanport.prepaid import batches
 from rowanport.prepaid import BudgetRecord
 from rowanport.prepaid import holders as holders_
-from rowanport.prepaid.account import LEFT_SECONDS
+from rowanport.prepaid.account import STORE_VIEW_SECONDS
 from rowanport.prepaid.allowance import Allowances
 from rowanport.prepaid.allowance import GROWTH_DELAY
 from rowanport.prepaid.allowance import HOLD_SECONDS
@@ -181,7 +181,7 @@
 
 @contextlib.contextmanager
 def limits_not_kept():
-    with mock.patch.object(Allowances, "room", lambda *_: None):
+    with mock.patch.object(Allowances, "headroom", lambda *_: None):
         yield
 
 
@@ -199,11 +199,11 @@
 
 @contextlib.contextmanager
 def unheard_write_made_anew():
-    finish = BatchWriter._forget_writes
+    finish = BatchWriter._discard_writes
     write = BatchWriter.write
 
     async def writing(self, *args):
-        if self.batch.unsure:
+        if self.batch.uncertain:
             finish(self, self.batch)
             self.batch.number += 1
         return await write(self, *args)
@@ -223,7 +223,7 @@
 
 @contextlib.contextmanager
 def lent_without_debit():
-    def lend(self, tokens, room, now, parts):
+    def lend(self, tokens, headroom, now, parts):
         return min(self.available, tokens)
 
     with mock.patch.object(Account, "lend", lend):
@@ -232,7 +232,7 @@
 
 @contextlib.contextmanager
 def given_back_without_debit():
-    with mock.patch.object(Account, "take_out", lambda *_: None):
+    with mock.patch.object(Account, "debit", lambda *_: None):
         yield
 
 
@@ -412,11 +412,11 @@
     # for good, and went on with what little they had drawn.
     world = make_world()
     account = world.routers[ADDRESSES[0]].keeper.accounts[BUDGET]
-    account.take_out(account.available)
-    account.left, account.left_at = 10, world.loop.now
+    account.debit(account.available)
+    account.store_remaining, account.store_seen_at = 10, world.loop.now
     world.advance(2.0)
     assert account.available == 0
-    world.advance(LEFT_SECONDS)
+    world.advance(STORE_VIEW_SECONDS)
     assert account.available > 0
     world.close()
 
@@ -461,7 +461,7 @@
     assert before == world.taken()
     account = world.routers[ADDRESSES[1]].keeper.accounts[BUDGET]
     held = account.available
-    pace = account.pace(len(ADDRESSES), world.loop.now)
+    pace = account.limit_growth(len(ADDRESSES), world.loop.now)
     world.store_down = True
     world.advance(1.0)
     world.stop(ADDRESSES[1])
@@ -505,7 +505,7 @@
 def draw_again(world, address):
     """Have a router draw tokens, as if it had let go all that it held."""
     account = world.routers[address].keeper.accounts[BUDGET]
-    account.take_out(account.available)
+    account.debit(account.available)
 
 
 def test_a_budget_is_called_spent_only_when_all_routers_surely_lack_it():
--- a/test/test_prepaid_fleet.py
+++ b/test/test_prepaid_fleet.py
@@ -9,9 +9,9 @@
 from rowanport.hashing import rendezvous
 from rowanport.prepaid import Account
 from rowanport.prepaid import holders as holders_
-from rowanport.prepaid.account import FIRST_SHARE
+from rowanport.prepaid.account import MIN_HELD_SHARE
+from rowanport.prepaid.holders import DISCOVERY_SECONDS
 from rowanport.prepaid.holders import HOLDERS
-from rowanport.prepaid.holders import LEARN_SECONDS
 from rowanport.prepaid.holders import SMALL_FLEET
 from rowanport.prepaid.loans import Loans
 
@@ -22,9 +22,9 @@
     world = World(1, 10000)
     world.start(ADDRESSES[0])
     world.advance(1.0)
-    assert 0 < world.held() <= 10000 * FIRST_SHARE / SMALL_FLEET
-    world.advance(LEARN_SECONDS)
-    assert world.held() > 0.5 * 10000 * FIRST_SHARE
+    assert 0 < world.held() <= 10000 * MIN_HELD_SHARE / SMALL_FLEET
+    world.advance(DISCOVERY_SECONDS)
+    assert world.held() > 0.5 * 10000 * MIN_HELD_SHARE
     world.close()
 
 
@@ -84,9 +84,11 @@
         world.start(f"10.0.1.{number}:1")
     world.advance(1.0)
     keeper = next(iter(world.routers.values())).keeper
-    drawing = list(world.routers)[: 3 * HOLDERS]
+    drawing_routers = list(world.routers)[: 3 * HOLDERS]
     with (
-        mock.patch.object(keeper._members, "delegates", lambda *_: drawing),
+        mock.patch.object(
+            keeper._members, "delegates", lambda *_: drawing_routers
+        ),
         mock.patch.object(holders_, "rendezvous", wraps=rendezvous) as order,
     ):
         for _number in range(10):
@@ -101,11 +103,11 @@
     account = Account(BUDGET)
     account.set_total(100000)
     account.credit(30000)
-    at_rest = account.allowance(4, 1.0), account.pace(4, 1.0)
+    at_rest = account.allowance(4, 1.0), account.limit_growth(4, 1.0)
     for number in range(8):
         assert account.lend(1000, None, 1.0 + number / 4, draws=False)
     assert account.allowance(4, 3.0) > 2 * at_rest[0]
-    assert account.pace(4, 3.0) > 2 * at_rest[1]
+    assert account.limit_growth(4, 3.0) > 2 * at_rest[1]
 
 
 def test_a_lender_opens_its_limit_for_a_borrower():
@@ -244,11 +246,11 @@
     # request of 9,000 tokens 4,500 more: idle, and soon brought back.
     account = Account(BUDGET)
     account.credit(9000)
-    account.note_demand(9000, 10.0)
+    account.record_demand(9000, 10.0)
     assert account.reserve(9000, None, 10.0)
-    account.note_demand(8000, 11.0)
-    account.waiting.append(Waiter(8000))
-    assert account.loan(None, 11.0) == 8000
+    account.record_demand(8000, 11.0)
+    account.waiters.append(Waiter(8000))
+    assert account.loan_size(None, 11.0) == 8000
     for number in range(10):
-        account.note_demand(8000, 11.0 + number / 10)
-    assert account.loan(None, 12.0) > 8000
+        account.record_demand(8000, 11.0 + number / 10)
+    assert account.loan_size(None, 12.0) > 8000
--- a/test/test_prepaid_limits.py
+++ b/test/test_prepaid_limits.py
@@ -15,7 +15,7 @@
 from rowanport.prepaid import batches
 from rowanport.prepaid import BudgetRecord
 from rowanport.prepaid import HolderRecord
-from rowanport.prepaid.account import PACE_SHARE
+from rowanport.prepaid.account import GROWTH_SHARE
 from rowanport.prepaid.allowance import Allowance
 from rowanport.prepaid.allowance import Allowances
 from rowanport.prepaid.allowance import GROWTH_DELAY
@@ -31,14 +31,14 @@
     account = Account(BUDGET)
     account.credit(100)
     allowances = Allowances()
-    assert allowances.room(account, 0.0) is None
+    assert allowances.headroom(account, 0.0) is None
     allowances.add(Allowance(0.0, {BUDGET: Limit(30)}, {BUDGET: 100}))
-    assert allowances.room(account, 1.0) == 30
+    assert allowances.headroom(account, 1.0) == 30
     account.credit(50)
-    assert allowances.room(account, 1.0) == 80
-    assert account.reserve(80, allowances.room(account, 1.0), 1.0)
-    assert not account.reserve(1, allowances.room(account, 1.0), 1.0)
-    assert allowances.room(account, HOLD_SECONDS + 0.1) is None
+    assert allowances.headroom(account, 1.0) == 80
+    assert account.reserve(80, allowances.headroom(account, 1.0), 1.0)
+    assert not account.reserve(1, allowances.headroom(account, 1.0), 1.0)
+    assert allowances.headroom(account, HOLD_SECONDS + 0.1) is None
 
 
 @pytest.mark.parametrize("power", (False, True), ids=("process", "machine"))
@@ -68,18 +68,18 @@
     allowances.add(Allowance(1.0, {BUDGET: Limit(10, 20.0)}, {BUDGET: 100}))
     grows_at = 1.0 + GROWTH_DELAY
     for now in (1.0, 2.0, grows_at):
-        assert allowances.room(account, now) == 10
+        assert allowances.headroom(account, now) == 10
     now = grows_at + 1.5
-    assert allowances.room(account, now) == 40
-    assert account.reserve(40, allowances.room(account, now), now)
-    assert allowances.room(account, now) == 0
+    assert allowances.headroom(account, now) == 40
+    assert account.reserve(40, allowances.headroom(account, now), now)
+    assert allowances.headroom(account, now) == 0
     # 20 more are free a second later, all of them once it binds no more.
-    at = allowances.room_at(account, 20, now)
+    at = allowances.allowed_at(account, 20, now)
     assert now + 1.0 <= at <= now + 1.1
-    assert allowances.room(account, at) >= 20
+    assert allowances.headroom(account, at) >= 20
     account.credit(1000)
     allowances.add(Allowance(1.0, {BUDGET: Limit(10, 20.0)}, {BUDGET: 1100}))
-    assert allowances.room_at(account, 1060, now) == 1.0 + HOLD_SECONDS
+    assert allowances.allowed_at(account, 1060, now) == 1.0 + HOLD_SECONDS
     record = HolderRecord(
         "run", 1, holdings={BUDGET: (1000, 10, 20.0)}, grows_at=GROWTH_DELAY
     )
@@ -97,12 +97,12 @@
     keeper = world.routers[ADDRESSES[0]].keeper
     account = keeper.accounts[BUDGET]
     world.store_down = True
-    room = keeper.room(account)
-    world.request(ADDRESSES[0], room, room, 0.1)
+    headroom = keeper.headroom(account)
+    world.request(ADDRESSES[0], headroom, headroom, 0.1)
     world.advance(GROWTH_DELAY)
-    grown = 0.3 * PACE_SHARE * account.total / len(ADDRESSES)
-    soon = int(keeper.room(account) + grown)
-    assert keeper.room(account) < soon <= account.available
+    grown = 0.3 * GROWTH_SHARE * account.total / len(ADDRESSES)
+    soon = int(keeper.headroom(account) + grown)
+    assert keeper.headroom(account) < soon <= account.available
     for address in ADDRESSES[1:]:
         # Peers lend nothing.
         world.routers[address].keeper.accounts[BUDGET].recalled = True
@@ -123,12 +123,12 @@
     allowances = Allowances()
     heard = Allowance(0.0, {BUDGET: Limit(50)}, {BUDGET: 100})
     allowances.add(heard)
-    allowances.settle_on(heard)
+    allowances.confirm(heard)
     allowances.add(Allowance(1.0, {BUDGET: Limit(30)}, {BUDGET: 100}))
-    assert allowances.room(account, 1.5) == 30
+    assert allowances.headroom(account, 1.5) == 30
     # The older record's limit has lapsed, the unheard one's has not.
-    assert allowances.room(account, HOLD_SECONDS + 0.5) == 30
-    assert allowances.room(account, HOLD_SECONDS + 1.5) is None
+    assert allowances.headroom(account, HOLD_SECONDS + 0.5) == 30
+    assert allowances.headroom(account, HOLD_SECONDS + 1.5) is None
 
 
 def test_a_record_of_its_own_that_cannot_be_read_stops_no_router():
@@ -159,10 +159,10 @@
 def test_a_restarted_machine_is_proved_by_leases_and_clocks_together():
     record = HolderRecord("run", 1, earliest=1000.0, lapses_at=HOLD_SECONDS)
     for shorter, longer in itertools.pairwise(LEASE_SPANS):
-        young, old = 1000.0 + shorter - 0.1, 1000.0 + shorter + 0.1
-        assert machine_age(record, shorter, True, young) == shorter
+        is_starting, old = 1000.0 + shorter - 0.1, 1000.0 + shorter + 0.1
+        assert machine_age(record, shorter, True, is_starting) == shorter
         # The longer of what leases say and what clocks say.
-        assert machine_age(record, longer, True, young) == longer
+        assert machine_age(record, longer, True, is_starting) == longer
         assert machine_age(record, shorter, True, old) == longer
     shortest, longest = LEASE_SPANS[0], LEASE_SPANS[-1]
     assert machine_age(record, None, True, 1001.0) is None
@@ -230,7 +230,7 @@
     world = make_world()
     router = world.routers[ADDRESSES[0]]
     account = router.keeper.accounts[BUDGET]
-    pace = account.pace(len(ADDRESSES), world.loop.now)
+    pace = account.limit_growth(len(ADDRESSES), world.loop.now)
     before = world.held()
     world.store_down = True
     world.advance(4.0)
@@ -265,15 +265,15 @@
         assert account.reserve(9000, None, number / 2)
         account.settle(9000, 3000, number / 2 + 0.4, 3000)
     used_a_second = 3000 * 2
-    assert account.pace(4, 10.0) < 1.6 * used_a_second
+    assert account.limit_growth(4, 10.0) < 1.6 * used_a_second
     # Also where it was lent, and what was not needed has come back.
     lender = Account(BUDGET)
     lender.set_total(1000000)
     lender.credit(900000)
     for number in range(20):
         lender.lend(9000, None, number / 2, draws=False)
-        lender.take_back(6000, number / 2 + 0.4)
-    assert lender.pace(4, 10.0) < 1.6 * used_a_second
+        lender.credit_returned(6000, number / 2 + 0.4)
+    assert lender.limit_growth(4, 10.0) < 1.6 * used_a_second
 
 
 def test_a_record_opens_the_limit_for_a_request_that_waits():
@@ -289,7 +289,7 @@
         while not 0.4 < world.loop.now - newest.made_at < 0.6:
             world.advance(0.01)
             newest = keeper._refill._allowances.newest()
-        tokens = int(1.4 * keeper.room(account))
+        tokens = int(1.4 * keeper.headroom(account))
         world.request(ADDRESSES[0], tokens, 0, 0.1)
         world.advance(0.5)
     assert (world.served, world.refusals) == (10, 0)
@@ -302,9 +302,9 @@
     # might let go as much: only a router that held too little asked them.
     world = make_world()
     keeper = world.routers[ADDRESSES[0]].keeper
-    room = keeper.room(keeper.accounts[BUDGET])
+    headroom = keeper.headroom(keeper.accounts[BUDGET])
     world.store_down = True
-    world.request(ADDRESSES[0], 2 * room, 2 * room, 0.1)
+    world.request(ADDRESSES[0], 2 * headroom, 2 * headroom, 0.1)
     world.advance(0.2)
     assert (world.served, world.refusals) == (1, 0)
     world.check()
--- a/test/test_prepaid_loans.py
+++ b/test/test_prepaid_loans.py
@@ -20,7 +20,7 @@
     world.advance(4.0)
     world.silent[one, lender] = ("answer lost", world.loop.now + 1.0)
     account = world.routers[one].keeper.accounts[BUDGET]
-    account.take_out(account.available)
+    account.debit(account.available)
     before = world.held()
     world.request(one, 100, 100, 0.1)
     world.advance(4.0)
--- a/test/test_prepaid_recovery.py
+++ b/test/test_prepaid_recovery.py
@@ -75,7 +75,7 @@
     # Each reports it as it draws again.
     for address in ADDRESSES:
         account = world.routers[address].keeper.accounts[BUDGET]
-        account.take_out(account.available)
+        account.debit(account.available)
     world.advance(2.0)
     record = BudgetRecord.unpack(world.read(BUDGET_PREFIX + BUDGET).data)
     assert record.spent == 18000
@@ -110,7 +110,7 @@
             lapses_at=allowance.lapses_at,
         )
         record = HolderRecord.unpack(record.pack())
-        assert record.binds_for == HOLD_SECONDS
+        assert record.effective_seconds == HOLD_SECONDS
         limit = Limit(10, 100.0)
         for age in (0.0, GROWTH_DELAY, GROWTH_DELAY + 1.01, HOLD_SECONDS):
             assert record.unspent(age) == {BUDGET: 1000 - limit.at(age)}
@@ -120,7 +120,7 @@
     record = HolderRecord(
         "run", 1, holdings={BUDGET: (100, 50, 10.0)}, out={BUDGET: (40, 30)}
     )
-    (account,) = HolderRecord.unpack(record.pack()).account(2.0).values()
+    (account,) = HolderRecord.unpack(record.pack()).run_accounts(2.0).values()
     assert account.as_log() == {
         "tokens_in": 100,
         "out": 40,
@@ -128,7 +128,7 @@
         "let_go": 30,
         "unspent": 30,
     }
-    (account,) = record.account().values()
+    (account,) = record.run_accounts().values()
     assert (account.let_go, account.unspent) == (60, 0)
 
 
--- a/test/test_prepaid_spent.py
+++ b/test/test_prepaid_spent.py
@@ -24,7 +24,7 @@
 from rowanport.prepaid import holders
 from rowanport.prepaid.batches import BUDGET_PREFIX
 from rowanport.prepaid.batches import HOLDER_PREFIX
-from rowanport.prepaid.holders import ALONE_SECONDS
+from rowanport.prepaid.holders import FALLBACK_SECONDS
 
 
 def use(world, address, tokens):
@@ -96,7 +96,7 @@
     one, other = fleet.holders[:2]
     fleet.keeper(one).settle(BUDGET, 0, 0, 7000)
     world.spent += 7000
-    fleet.account(one).take_out(20000)
+    fleet.account(one).debit(20000)
     world.advance(1.0)
     assert fleet.account(other).known_spent == 7000
     world.close()
@@ -129,14 +129,14 @@
     keeper = fleet.keeper(address)
     keeper.settle(BUDGET, 0, 0, 7000)
     world.spent += 7000
-    keeper._holders.draw_alone(BUDGET)
+    keeper._holders.allow_fallback_draw(BUDGET)
     writer = keeper._refill._writer
     store = LostAnswers(writer._store)
     with mock.patch.object(writer, "_store", store):
-        world.advance(ALONE_SECONDS + 2.0)
-        assert writer.unsure and store.commits > 1
+        world.advance(FALLBACK_SECONDS + 2.0)
+        assert writer.uncertain and store.commits > 1
     for other in fleet.holders:
-        fleet.account(other).take_out(fleet.account(other).available)
+        fleet.account(other).debit(fleet.account(other).available)
     world.advance(5.0)
     record = BudgetRecord.unpack(world.read(BUDGET_PREFIX + BUDGET).data)
     assert record.spent == 7000
@@ -186,7 +186,7 @@
         world.spent += 600
     keepers = [router.keeper for router in world.routers.values()]
     for one, other in list(itertools.permutations(keepers, 2)) * 3:
-        other.hear_spent(BUDGET, one.no_loan(BUDGET).spent)
+        other.merge_spent(BUDGET, one.no_loan(BUDGET).spent)
         assert 600 <= min(keeper.no_loan(BUDGET).spent for keeper in keepers)
         assert max(world.spent_as_known()) <= 2400
     world.close()
--- a/test/test_prepaid_stops.py
+++ b/test/test_prepaid_stops.py
@@ -13,8 +13,8 @@
 from rowanport.errors import ErrorKind
 from rowanport.errors import PeerError
 from rowanport.incarnation import address_of
+from rowanport.prepaid.handoff import ATTEMPT_TIMEOUT
 from rowanport.prepaid.handoff import Handoffs
-from rowanport.prepaid.handoff import TRY_TIMEOUT
 from rowanport.schema.messages import Refused
 
 # Budgets that take several batches to give back.
@@ -125,14 +125,17 @@
     :param at_the_end: whether that is at the last hand-over, not the first
     """
     world = make_fleet(2)
-    one, heir = ADDRESSES[:2]
+    one, recipient = ADDRESSES[:2]
     if at_the_end:
         # So long it has no heir at all.
-        world.cuts.add(frozenset((one, heir)))
+        world.cuts.add(frozenset((one, recipient)))
         world.loop.call_later(STOP_LINGER - 0.1, world.cuts.clear)
-        world.silent[one, heir] = (fate, world.loop.now + STOP_LINGER + 1.2)
+        world.silent[one, recipient] = (
+            fate,
+            world.loop.now + STOP_LINGER + 1.2,
+        )
     else:
-        turn_silent_once_tokens_came(world, one, heir, fate)
+        turn_silent_once_tokens_came(world, one, recipient, fate)
     world.request(one, 150, 50, STOP_LINGER - 0.2)
     world.stop(one)
     world.advance(STOP_LINGER + 4.0)
@@ -142,17 +145,17 @@
     return left
 
 
-def turn_silent_once_tokens_came(world, one, heir, fate):
+def turn_silent_once_tokens_came(world, one, recipient, fate):
     """Let a connection turn silent as the first tokens come in."""
-    keeper = world.routers[heir].keeper
-    inherit = keeper.inherit
+    keeper = world.routers[recipient].keeper
+    accept_handoff = keeper.accept_handoff
 
     def inherit_unheard(name, tokens, sender):
-        if (one, heir) not in world.silent:
-            world.silent[one, heir] = (fate, world.loop.now + 1.15)
-        inherit(name, tokens, sender)
+        if (one, recipient) not in world.silent:
+            world.silent[one, recipient] = (fate, world.loop.now + 1.15)
+        accept_handoff(name, tokens, sender)
 
-    keeper.inherit = inherit_unheard
+    keeper.accept_handoff = inherit_unheard
 
 
 @pytest.mark.parametrize("fate", ("lost", "answer lost"))
@@ -163,11 +166,11 @@
     assert stop_beside_a_silent_connection(fate, at_the_end) == 0
 
 
-async def refused_if_unanswered(self, heir, message):
+async def refused_if_unanswered(self, recipient, message):
     """Send a hand-over once, and take no answer for a refusal."""
     try:
-        address = address_of(heir)
-        return await self._peers.call(address, message, TRY_TIMEOUT)
+        address = address_of(recipient)
+        return await self._peers.call(address, message, ATTEMPT_TIMEOUT)
     except PeerError:
         return Refused(ErrorKind.STOPPING.value, "")
 
@@ -181,10 +184,10 @@
 def hand_over_to_two_runs():
     """Hand tokens over to a router that takes them, ends and starts again."""
     world = make_fleet(2)
-    one, heir = ADDRESSES[:2]
-    turn_silent_once_tokens_came(world, one, heir, "answer lost")
+    one, recipient = ADDRESSES[:2]
+    turn_silent_once_tokens_came(world, one, recipient, "answer lost")
     world.stop(one)
-    world.loop.call_later(1.0, world.kill, heir, 0.1)
+    world.loop.call_later(1.0, world.kill, recipient, 0.1)
     world.advance(8.0)
     world.check()
     world.close()
