--- a/rowanport/prepaid/account.py
+++ b/rowanport/prepaid/account.py
@@ -1,84 +1,87 @@
-"""One budget at one router: what it holds, owes and should hold.
+"""One budget's tokens at one router, and how many it should hold.
 
-Nothing here waits or sends.  Tokens come in by a draw or a loan and go out
-by being spent, lent or given back; at each moment a token is in one place.
-A count of holders is one at least, whoever makes it.
+The account does no I/O.  Tokens come in by a draw from the store or a loan
+from a peer, and leave by being spent, lent or returned; a token is always in
+exactly one place.  Every count of holders passed in is at least one.
 """
 
 import math
 
 from ..rates import DecayingRate
 
-# Seconds of demand to hold: the longest outage of the store that the users
-# describe is about 9 s, and draws are some tenths of a second apart.
+# Seconds of demand to hold: the longest store outage that users report is
+# about 9 s, and draws are some tenths of a second apart.
 HORIZON = 10.0
-# Half life of the demand in seconds: short against a burst of traffic.
+# Half-life in seconds of the demand average; short compared to a traffic
+# burst.
 DEMAND_HALF_LIFE = 4.0
-# Seconds over which the first requests are spread, so that a single one is
-# not taken for a rate.
+# Seconds over which the first requests are averaged, so that a single one is
+# not read as a rate.
 DEMAND_MIN_AGE = 2.0
-# Part of the whole budget that the fleet holds at least: demand is lumpy, a
-# single large request may need a tenth of a small budget.
+# Minimum part of the whole budget that the fleet holds: demand is lumpy, and
+# a single large request may need a tenth of a small budget.
 MIN_HELD_SHARE = 0.3
-# Part of what is unspent that the fleet holds at most.  If all machines lose
-# power while the store is down, what they held is lost; the rest must serve
-# a fair part of what follows.
+# Maximum part of the unspent tokens that the fleet holds.  If all machines
+# lose power while the store is down, what they held is lost, and the rest has
+# to serve a fair part of the later requests.
 MAX_HELD_SHARE = 0.5
-# Draw when less than this part of the target is left.
+# Draw when less than this part of the target is held.
 LOW_WATER = 0.6
-# Smallest draw, as a part of the budget: near exhaustion the target falls
-# with each draw, and ever smaller ones would only cost store calls.
+# Smallest draw as a part of the budget: near exhaustion the target falls with
+# each draw, and ever smaller draws would only cost store calls.
 MIN_DRAW = 0.01
-# Seconds of what is granted that a router borrows beyond what it lacks, and
-# requests a second from which on it does: what fewer ones would use later is
-# brought back before they come.
+# Seconds of granted demand that a router borrows beyond its shortfall, and the
+# requests a second from which it does so.  With fewer requests the surplus
+# would be returned before it is used.
 LOAN_SECONDS = 1.0
 LOAN_REQUESTS = 2.0
-# Seconds for which what was left in the store is believed.  Others give back
-# what they draw too much; a draw is trimmed to what is there (see trim).
+# Seconds for which the last seen count of tokens in the store is used.  Other
+# routers return surplus tokens; a draw is limited to what is there (see trim).
 STORE_VIEW_SECONDS = 5.0
-# Requests a second of one budget from which on a router of a larger fleet may
-# draw itself: one large request of a small budget is no reason to.
+# Requests a second for one budget from which a router of a larger fleet may
+# draw itself; one large request of a small budget is not enough.
 HEAVY_REQUESTS = 5.0
-# Give back what is above this multiple of the target.
+# Return what exceeds this multiple of the target.
 HIGH_WATER = 2.5
-# Tokens that may go out at once after a record, in seconds of what is granted
-# and as a part of the whole budget for those that are asked rarely and then
-# for much at once.  What is asked is no measure: callers of a dry budget ask
-# again and again, and all that a limit lets go may be lost with its router.
+# Tokens that may leave at once after a record: in seconds of granted demand,
+# and as a part of the whole budget for budgets with rare, large requests.
+# Requested tokens are not used as the measure: callers of an exhausted budget
+# keep retrying, and all that a limit allows may be lost with its router.
 ALLOWANCE_SECONDS = 0.6
 ALLOWANCE_SHARE = 0.018
-# How fast that limit grows while no new record is made, as a multiple of what
-# is granted and as a part of what is unspent a second: what a cut from the
-# store must bear.
+# Growth of that limit per second while no new record is written, as a multiple
+# of the granted demand and as a part of the unspent tokens.  It has to last
+# for an outage of the store.
 GROWTH_FACTOR = 1.2
 GROWTH_SHARE = 0.0105
-# Part of an allowance that is used up when a new one is written.
+# Used part of an allowance at which a new one is written.
 ALLOWANCE_USED = 0.6
 
 
 class Account:
     """A budget's tokens at this router.
 
-    :ivar inflow: tokens that came in since the start
-    :ivar outflow: tokens that went out or are set aside
-    :ivar in_flight: tokens set aside for requests that have not ended
-    :ivar spent: tokens that requests of this router surely used
-    :ivar reported: how many of these the store's record or a peer counts
+    :ivar inflow: tokens received since the start
+    :ivar outflow: tokens that left or are reserved
+    :ivar in_flight: tokens reserved for requests that have not ended
+    :ivar spent: tokens known to be used by requests of this router
+    :ivar reported: part of ``spent`` that the store's record or a peer counts
     :ivar recorded: tokens that the budget's record counts as spent, as last
         seen
-    :ivar peer_spent: most tokens that a peer knew to be spent
-    :ivar total: tokens paid for, as the configuration says
-    :ivar store_remaining: tokens left in the store when it was last seen,
-        or None
-    :ivar store_seen_at: steady time then
-    :ivar recalled: whether all is to be given back first, as the total fell
+    :ivar peer_spent: highest count of spent tokens reported by a peer
+    :ivar total: tokens paid for, by the configuration
+    :ivar store_remaining: tokens left in the store when last seen, or None
+    :ivar store_seen_at: monotonic time of that
+    :ivar recalled: whether all tokens must be returned first, as the total
+        was lowered
     :ivar loan_unanswered: whether the last peer asked for a loan did not
         answer
-    :ivar last_lender: peer address of the last router that lent some, or None
-    :ivar granted_at: steady time of the last request that got tokens here
-    :ivar exhausted_until: steady time until which asking others is in vain
-    :ivar waiters: waiters for tokens, the first one first
+    :ivar last_lender: peer address of the last router that lent tokens, or
+        None
+    :ivar granted_at: monotonic time of the last successful reservation
+    :ivar exhausted_until: monotonic time until which peers are not asked, as
+        none had tokens
+    :ivar waiters: requests waiting for tokens, in order of arrival
     """
 
     __slots__ = (
@@ -130,33 +133,34 @@
 
     @property
     def available(self):
-        """Return the tokens that are nobody's yet."""
+        """Return the tokens that are neither spent, reserved nor lent."""
         return self.inflow - self.outflow
 
     @property
     def unspent(self):
-        """Return the tokens that may be unspent, wherever they are.
+        """Return an upper bound of the budget's unspent tokens, fleet-wide.
 
-        Never fewer than really are: what peers spent lately is not known.
+        What peers spent lately is not known here.
         """
         return self.total - self.known_spent
 
     @property
     def known_spent(self):
-        """Return the tokens that were surely used, as far as is known.
+        """Return a lower bound of the budget's spent tokens, fleet-wide.
 
-        What a peer knew is not added to: it may hold what is counted here,
-        and two routers that told each other would count more and more.
+        Tokens spent here are not added to a peer's count, which may include
+        them already: two routers that exchanged counts would raise them
+        without end.
         """
         return max(self.recorded + self.unreported, self.peer_spent)
 
     @property
     def unreported(self):
-        """Return the tokens spent here that nobody else counts."""
+        """Return the tokens spent here that are not reported yet."""
         return self.spent - self.reported
 
     def merge_spent(self, tokens):
-        """Take in how many tokens were surely used, as a peer knows."""
+        """Merge a peer's count of spent tokens."""
         self.peer_spent = max(self.peer_spent, tokens)
 
     @property
@@ -166,42 +170,42 @@
 
     @property
     def shortfall(self):
-        """Return the tokens that waiting requests need beyond these."""
+        """Return the tokens that waiting requests need beyond those held."""
         return max(0, self.waiting_tokens - self.available)
 
     @property
     def borrower_shortfall(self):
         """Return the tokens that borrowers lacked since the last record.
 
-        All of them: a limit that opens for one borrower at a time lets the
-        others have a few tokens each, which serves none of them.
+        This is the sum over all borrowers: a limit raised for one of them
+        would leave the others a few tokens each, too few for any request.
         """
         return sum(self._shortfalls.values())
 
     @property
     def total_shortfall(self):
-        """Return the tokens that are lacking here and at borrowers."""
+        """Return the tokens lacking here and at borrowers."""
         return max(
             0, self.waiting_tokens + self.borrower_shortfall - self.available
         )
 
     def record_shortfall(self, borrower, tokens):
-        """Note how many tokens a borrower still lacks, in place of before."""
+        """Set how many tokens a borrower still lacks."""
         self._shortfalls[borrower] = tokens
 
     def clear_shortfalls(self):
-        """Begin anew to note what borrowers lack."""
+        """Forget what borrowers lack."""
         self._shortfalls.clear()
 
     def loan_size(self, headroom, now):
         """Return the tokens to ask a peer for, 0 if none are needed.
 
-        What the next seconds need is asked for, too, as each loan is a wait
-        for some request.
+        The demand of the next seconds is included, as some request has to
+        wait for each loan.
 
-        :param headroom: tokens that may go out now, None for any number;
-            borrowed ones may go out beyond it
-        :param now: steady time
+        :param headroom: tokens that the limits let out now, None for any
+            number; borrowed tokens are not limited
+        :param now: monotonic time
         """
         free = self._spendable(headroom)
         if self.waiting_tokens <= free:
@@ -215,9 +219,9 @@
         )
 
     def _spendable(self, headroom):
-        """Return the tokens that are here and may go out now.
+        """Return the available tokens that the limits let out now.
 
-        :param headroom: tokens that may go out now, None for any number
+        :param headroom: tokens that the limits let out, None for any number
         """
         if headroom is None:
             return self.available
@@ -226,15 +230,15 @@
     # Requests
 
     def record_demand(self, tokens, now):
-        """Count what a request asks for."""
+        """Count the tokens that a request asks for."""
         self._demand.add(tokens, now)
         self._requests.add(1, now)
 
     def reserve(self, tokens, headroom, now):
-        """Set tokens aside if there are enough; return whether.
+        """Reserve tokens if there are enough; return whether it did.
 
-        :param headroom: tokens that may go out now, None for any number
-        :param now: steady time
+        :param headroom: tokens that the limits let out, None for any number
+        :param now: monotonic time
         """
         if self.recalled or self._spendable(headroom) < tokens:
             return False
@@ -245,11 +249,11 @@
         return True
 
     def settle(self, tokens, used, now, spent=0):
-        """End a reservation of which some tokens were used.
+        """End a reservation and release its unused tokens.
 
-        :param used: tokens that may have been used, which do not come back
-        :param now: steady time
-        :param spent: tokens that surely were
+        :param used: tokens that may have been used; they are not released
+        :param now: monotonic time
+        :param spent: tokens that are known to be used
         """
         unused = max(0, tokens - used)
         self.outflow -= unused
@@ -258,31 +262,32 @@
         self._granted.add(-unused, now)
 
     def credit_returned(self, tokens, now):
-        """Take in tokens that a borrower did not need.
+        """Credit tokens that a borrower returned unused.
 
-        What comes back may go out again beyond a written limit, so it counts
-        as not granted: what a limit covers besides may be lost with its
-        router, and is not needed.
+        Returned tokens may leave again beyond a written limit, so they are
+        subtracted from the granted demand: a limit that covered them as well
+        would be larger than needed, and what it allows may be lost with the
+        router.
         """
         self.credit(tokens)
         self._granted.add(-tokens, now)
 
     def apply_record(self, record, reported, now):
-        """Take in what the store's record says after a batch.
+        """Apply the store's record as a batch left it.
 
         :param record: the BudgetRecord
         :param reported: tokens of ``spent`` that it counts
-        :param now: steady time
+        :param now: monotonic time
         """
         self.store_remaining = record.remaining
         self.store_seen_at = now
         self.reported = reported
         self.recorded = record.spent
 
-    # Tokens that come and go
+    # Transfers
 
     def set_total(self, total):
-        """Take over the total of a new configuration."""
+        """Apply the total of a new configuration."""
         if total < self.total:
             self.recalled = True
         elif total > self.total:
@@ -294,23 +299,24 @@
         self.total = total
 
     def credit(self, tokens):
-        """Take in tokens."""
+        """Add tokens."""
         self.inflow += tokens
 
     def lend(self, tokens, headroom, now, draws=True):
-        """Return the tokens lent to another router that lacks some.
-
-        They count as granted, so that limits follow the borrowers' demand,
-        too: without that a lender of a large fleet, whose callers it serves
-        by others, had tokens and might not let them go.
-
-        :param tokens: what it needs
-        :param headroom: tokens that may go out now, None for any number
-        :param now: steady time
-        :param draws: whether it draws tokens itself; half of what is here is
-            lent to it if that is more, so that it need not ask again soon.
-            Others get what they need, so that a lender that takes its fleet
-            for small does not lend the first one all.
+        """Lend tokens to another router; return how many.
+
+        They count as granted, so that limits follow the borrowers' demand as
+        well.  Otherwise a lender in a large fleet, with little demand of its
+        own, held tokens that its limits did not let out.
+
+        :param tokens: tokens that the borrower needs
+        :param headroom: tokens that the limits let out, None for any number
+        :param now: monotonic time
+        :param draws: whether the borrower draws from the store itself.  It
+            then gets half of what is here if that is more, so that it need
+            not ask again soon.  Others get what they need only, so that a
+            lender that underestimates the size of its fleet does not lend
+            everything to the first borrower.
         """
         if self.waiters or self.recalled:
             return 0
@@ -323,7 +329,7 @@
         return lent
 
     def debit(self, tokens):
-        """Take free tokens out, to be given back or handed over."""
+        """Remove available tokens, to be returned or handed off."""
         self.outflow += tokens
 
     def cancel_debit(self, tokens):
@@ -333,7 +339,7 @@
     # Sizes
 
     def allowance(self, holders, now):
-        """Return the tokens that may go out at once after a record."""
+        """Return the tokens that may leave at once after a record."""
         wanted = max(
             ALLOWANCE_SECONDS * self._granted.rate(now),
             ALLOWANCE_SHARE * self.total / holders,
@@ -341,7 +347,7 @@
         return int(wanted) + self.waiting_tokens + self.borrower_shortfall
 
     def limit_growth(self, holders, now):
-        """Return how many more may go out for each second of its age."""
+        """Return the limit's growth in tokens a second."""
         return max(
             GROWTH_FACTOR * self._granted.rate(now),
             GROWTH_SHARE * self.unspent / holders,
@@ -354,11 +360,11 @@
         )
 
     def has_heavy_demand(self, holders, now):
-        """Return whether this router alone needs more than a holder keeps.
+        """Return whether this router's demand exceeds a holder's share.
 
-        Loans would have to come one after the other, each a wait.
+        Borrowing would then take one loan after another, with a wait for each.
 
-        :param holders: routers that hold tokens of this budget
+        :param holders: number of routers that draw on this budget
         """
         if self._requests.rate(now) < HEAVY_REQUESTS:
             return False
@@ -368,7 +374,7 @@
     def target(self, holders, now):
         """Return how many tokens to hold.
 
-        :param holders: routers that hold tokens of this budget
+        :param holders: number of routers that draw on this budget
         """
         wanted = self._demand_target(holders, now)
         if (
@@ -379,26 +385,28 @@
         return int(wanted)
 
     def _max_held(self, holders, left):
-        """Return the tokens to hold at most.
+        """Return the maximum number of tokens to hold.
 
-        The share of what all hold that this router sees is its own.
+        Of all held tokens this router knows only its own.
 
         :param left: tokens left in the store
         """
         return MAX_HELD_SHARE * (left / holders + self.available)
 
-    def trim(self, planned_draw, holders, left):
-        """Return what is left of a wish once the store's record is known.
+    def trim(self, draw, holders, left):
+        """Reduce a planned draw to what the store's record allows.
 
-        Others may have drawn since it was last seen.
+        Other routers may have drawn since the record was last seen.
+
+        :param left: tokens left in the store
         """
-        if planned_draw <= 0:
-            return planned_draw
-        headroom = int(self._max_held(holders, left)) - self.available
-        return max(self.total_shortfall, min(planned_draw, headroom))
+        if draw <= 0:
+            return draw
+        capacity = int(self._max_held(holders, left)) - self.available
+        return max(self.total_shortfall, min(draw, capacity))
 
     def planned_draw(self, holders, now):
-        """Return the tokens to draw, or to give back if negative."""
+        """Return the tokens to draw; negative to return some."""
         if self.recalled:
             return -self.available
         target = self.target(holders, now)
--- a/rowanport/prepaid/allowance.py
+++ b/rowanport/prepaid/allowance.py
@@ -1,50 +1,51 @@
-"""Limits that a router keeps for a while after it wrote them down.
-
-A router writes with each batch how many tokens of each budget it will let
-go at most, as a total since its start that grows with the age of the record.
-It keeps to that limit until ``HOLD_SECONDS`` have passed since it made the
-record, and writes a new one long before.  Only a router that cannot write
-any more goes beyond.
-
-So whoever knows an age of the last record by which its router had ended also
-knows that it let go no more than the limit at that age, and the rest can be
-given back.  Its own next run may know, in two ways:
-
-- A killed process: both runs read the same steady clock.
-- A machine that restarted has a new steady clock.  Then leases tell, which
-  began anew before the record was made and were written with it: while the
-  key of one is there, the store counted less time than it spans.  A store
-  that is down may keep a lease waiting; so the wall clocks of the fleet must
-  agree too.
+"""Outflow limits that a router writes to the store and then keeps to.
+
+With each batch a router writes how many tokens of each budget it will let out
+at most, as a total since its start that grows with the age of the record.  It
+keeps to that limit until ``HOLD_SECONDS`` after it made the record, and writes
+a new one long before.  Only a router that can no longer write outlives its
+limits.
+
+So if the router is known to have ended by some age of its last record, it let
+out no more than the limit at that age, and the rest can be returned.  Its next
+run can prove such an age in two cases:
+
+- The process was killed: both runs read the same monotonic clock.
+- The machine restarted, which resets the monotonic clock.  Then leases prove
+  the age.  They are renewed before the record is made and written with it:
+  while the key of one is there, less time than its span has passed on the
+  store's clock.  A store that is down may delay the expiry of a lease, so the
+  wall clocks of the fleet must agree as well.
 """
 
 import math
 
-# Seconds for which a written limit binds: the longest time in which a machine
-# comes back and still gets back a part of what it held.  In a longer cut from
-# the store all that is held serves.
+# Seconds for which a written limit is in effect.  A machine that comes back
+# within this time recovers a part of what it held; a router that is cut off
+# from the store for longer may use all that it holds.
 HOLD_SECONDS = 6.0
-# Spans in seconds of the leases that go with a record.  An age is proved up to
-# the shortest one that is left, so they tell a short absence from a long one.
+# Spans in seconds of the leases written with a record.  The age is proved to
+# be below the shortest span whose lease is left, so several spans tell a short
+# absence from a long one.
 LEASE_SPANS = (1.5, 2.0, 3.5, HOLD_SECONDS)
-# Seconds after which a limit is written anew.
+# Seconds after which a limit is written again.
 RENEW_SECONDS = 0.7
 # Age in seconds from which a limit grows.  A router that reaches the store has
-# written two records more by then.  A machine that lost power for a moment is
-# back and gets back all but what the limit let go at once; in a cut that much
-# has to serve so long.
+# written two newer records by then.  A machine that lost power for a moment is
+# back by then and recovers all but what the limit allowed at once; in a cut
+# from the store that amount has to last for this time.
 GROWTH_DELAY = 1.5
-# Disagreement of steady and wall clock in seconds beyond which a machine
-# may have been restarted, with a steady clock that began anew.
+# Difference in seconds between monotonic and wall clock beyond which the
+# machine may have restarted, which resets the monotonic clock.
 CLOCK_TOLERANCE = 1.0
 
 
 class Limit:
-    """Most tokens of one budget out, as a total since a router's start.
+    """Maximum outflow of one budget, as a total since the router's start.
 
     :ivar base: tokens at the time of the record
-    :ivar growth: tokens a second by which it grows later
-    :ivar delay: age of the record in seconds from which it grows
+    :ivar growth: tokens a second added once ``delay`` has passed
+    :ivar delay: age of the record in seconds from which the limit grows
     """
 
     __slots__ = ("base", "growth", "delay")
@@ -55,29 +56,29 @@
         self.delay = delay
 
     def at(self, age):
-        """Return the limit when its record has some age in seconds."""
+        """Return the limit at an age of its record in seconds."""
         return int(self.base + self.growth * max(0.0, age - self.delay))
 
     def age_of(self, tokens):
-        """Return the age in seconds from which it is some tokens at least."""
+        """Return the age in seconds from which it allows some tokens."""
         if tokens <= self.base:
             return 0.0
         if not self.growth:
             return math.inf
-        # One token more: a limit is rounded down.
+        # One more token, as limits are rounded down.
         return self.delay + (tokens + 1 - self.base) / self.growth
 
 
 class Allowance:
-    """One record's limits.
-
-    :ivar made_at: steady time just before the record was written
-    :ivar grows_at: steady time from which its limits grow
-    :ivar lapses_at: steady time from which they bind no more
-    :ivar limits: Limit by budget; budgets not named are free
-    :ivar inflows: tokens in by budget that the record counts and that are
-        here; what comes in otherwise is not in the record and may go out
-        beyond the limit
+    """The limits in one record.
+
+    :ivar made_at: monotonic time just before the record was written
+    :ivar grows_at: monotonic time from which its limits grow
+    :ivar lapses_at: monotonic time from which they are not in effect
+    :ivar limits: Limit by budget; other budgets are not limited
+    :ivar inflows: tokens received by budget, as counted in the record; what
+        was received otherwise is not in the record and may leave beyond the
+        limit
     """
 
     __slots__ = ("made_at", "grows_at", "lapses_at", "limits", "inflows")
@@ -90,65 +91,63 @@
         self.inflows = inflows
 
     def headroom(self, account, now):
-        """Return how many more tokens of an Account may go out."""
+        """Return how many more tokens of an Account may leave."""
         limit = self.limits[account.name].at(now - self.made_at)
         return limit - self.inflows[account.name] + account.available
 
     def allowed_at(self, account, tokens):
-        """Return the steady time from which some tokens may go out."""
+        """Return the monotonic time from which some tokens may leave."""
         out = tokens + self.inflows[account.name] - account.available
         age = self.limits[account.name].age_of(out)
         return min(self.made_at + age, self.lapses_at)
 
     def add_drawn(self, name, tokens):
-        """Note that tokens drawn by the record's own batch have come in.
+        """Count tokens that the record's own batch drew as received.
 
-        The record counts them, so they do not widen its limit.
+        The record includes them, so they do not raise its limit.
         """
         self.inflows[name] = self.inflows.get(name, 0) + tokens
 
 
 class Allowances:
-    """The limits of all records that may stand in the store."""
+    """The limits of all records that may be in the store."""
 
     def __init__(self):
         self._active = []
 
     def add(self, allowance):
-        """Take in the limits of a record that is about to be written."""
+        """Add the limits of a record that is about to be written."""
         if allowance not in self._active:
             self._active.append(allowance)
 
     def discard(self, allowance):
-        """Forget a record that surely does not stand in the store."""
+        """Remove a record that is known not to be in the store."""
         if allowance in self._active:
             self._active.remove(allowance)
 
     def confirm(self, allowance):
-        """Keep only the record that surely stands in the store."""
+        """Keep only the record that is known to be in the store."""
         self._active = [allowance]
 
     def headroom(self, account, now):
-        """Return how many more tokens of an Account may go out, or None.
+        """Return how many more tokens of an Account may leave.
 
-        :returns: None if no limit binds
+        :returns: tokens, None if no limit is in effect
         """
-        binding = self._in_effect(account.name, now)
-        return min(
-            (one.headroom(account, now) for one in binding), default=None
-        )
+        active = self._in_effect(account.name, now)
+        return min((a.headroom(account, now) for a in active), default=None)
 
     def allowed_at(self, account, tokens, now):
-        """Return the steady time from which limits let some tokens go.
+        """Return the monotonic time from which limits let some tokens out.
 
-        :param tokens: tokens that the Account holds, or fewer
+        :param tokens: no more tokens than the Account holds
         """
-        binding = self._in_effect(account.name, now)
-        times = (one.allowed_at(account, tokens) for one in binding)
+        active = self._in_effect(account.name, now)
+        times = (a.allowed_at(account, tokens) for a in active)
         return max(times, default=now)
 
     def _in_effect(self, name, now):
-        """Return the Allowances that bind a budget now."""
+        """Return the Allowances that limit a budget now."""
         return [
             one
             for one in self._active
@@ -164,9 +163,9 @@
     """Return the age of a record by which a killed process had ended.
 
     :param record: its last HolderRecord
-    :param steady: steady time now, of the machine that wrote it
+    :param steady: monotonic time now, of the machine that wrote it
     :param wall: wall time now, of the same machine
-    :returns: seconds; None if that is not proved, or limits bound no more
+    :returns: seconds; None if not proved or if the limits had lapsed
     """
     age = steady - record.made_at
     if not 0.0 <= age < record.effective_seconds:
@@ -179,12 +178,12 @@
     """Return the age of a record by which a restarted machine had ended.
 
     :param record: its last HolderRecord
-    :param span: seconds of the shortest lease that outlived it, or None
-    :param heard: whether any other machine's clock was heard
-    :param latest: the latest wall time that any clock of the fleet showed
-        when the next run began
-    :returns: seconds, one of ``LEASE_SPANS``; None if that is not proved, or
-        limits bound no more
+    :param span: span in seconds of the shortest lease left of it, or None
+    :param heard: whether another machine's clock was observed
+    :param latest: latest wall time that any clock of the fleet showed when
+        the next run began
+    :returns: seconds, one of ``LEASE_SPANS``; None if not proved or if the
+        limits had lapsed
     """
     if span is None or not heard:
         return None
--- a/rowanport/prepaid/holders.py
+++ b/rowanport/prepaid/holders.py
@@ -1,29 +1,33 @@
-"""Which routers draw on a budget; the others borrow from them."""
+"""Which routers draw a budget's tokens from the store.
+
+These are the budget's holders; all other routers borrow from them.
+"""
 
 from ..hashing import rendezvous
 from ..membership.members import STORE_DUTY
 
-# Fleets up to which every router draws, so that each has tokens in a cut.
+# Largest fleet in which every router draws, so that each has tokens while it
+# is cut off.
 SMALL_FLEET = 8
-# Routers of a larger fleet that hold tokens of one budget drawn from the
-# store; the others borrow from these.  Each writes a record or more a second,
-# and with many of them records are most of a fleet's calls of the store.
+# Holders of a budget in a larger fleet.  Each writes at least one record a
+# second; with many holders these writes are most of a fleet's store calls.
 HOLDERS = 4
-# Part of the fleet that draws on any budget, HOLDERS routers at least: the
-# store's rates grow more slowly than the fleet.  Routers that just started
-# know few others; up to 249 routers they find the same ones all the same.
+# Part of the fleet that draws on any budget, but at least HOLDERS routers, so
+# that the load on the store grows more slowly than the fleet.  Routers that
+# just started know few others, but in fleets of up to 249 routers they choose
+# the same ones.
 DRAWING_SHARE = 0.02
-# Seconds after the start during which a router may not know the others yet:
+# Seconds after the start in which a router may not know the others yet:
 # heartbeats are 0.8 s apart, and machines that lost power together are back
 # within a second of each other.
 DISCOVERY_SECONDS = 3.0
-# Seconds for which a router draws that reaches no holder: by then one is back
-# after a loss of power, or others have taken its place.
+# Seconds for which a router that reaches no holder draws itself.  By then a
+# holder is back after a loss of power, or others have replaced it.
 FALLBACK_SECONDS = 3.0
 
 
 class Holders:
-    """Who draws on which budget, as one router sees it.
+    """Which routers draw on which budget, as one router sees it.
 
     :param address: this router's peer address
     :param accounts: its Accounts by budget
@@ -40,12 +44,13 @@
         # Holders by budget, and the routers among which they were chosen.
         self._chosen = {}
         self._chosen_among = None
-        # Steady times until which this router draws for want of holders.
+        # Monotonic times by budget until which this router draws because it
+        # reached no holder.
         self._fallback_until = {}
 
     @property
     def is_large(self):
-        """Return whether some routers borrow what others draw."""
+        """Return whether only some routers draw and the others borrow."""
         return len(self._routers()) > SMALL_FLEET
 
     @property
@@ -54,9 +59,9 @@
         return self._clock.steady() < self._started + DISCOVERY_SECONDS
 
     def for_budget(self, name):
-        """Return the addresses of routers that draw on a budget.
+        """Return the addresses of the holders of a budget.
 
-        There are none while all routers stop.
+        There are none while all routers are stopping.
         """
         routers = self.drawing_routers()
         if not self.is_large:
@@ -81,7 +86,7 @@
         return account is not None and account.has_heavy_demand(HOLDERS, now)
 
     def allow_fallback_draw(self, name):
-        """Let this router draw on a budget for a while: no holder answers."""
+        """Let this router draw for a while, as no holder answers."""
         self._fallback_until[name] = self._clock.steady() + FALLBACK_SECONDS
 
     def drawing_routers(self):
@@ -91,26 +96,26 @@
         return self._routers()
 
     def _routers(self):
-        """Return the addresses of all routers of the cell that go on.
+        """Return the addresses of the cell's routers that are not leaving.
 
-        One that is suspected for a moment stays among them: a fleet does not
-        turn small and draw anew because of it.
+        A router that is suspected for a moment is included.  Otherwise a
+        large fleet would count as small for that time, and all would draw.
         """
         return self._members.delegates("routers", SMALL_FLEET, 1.0)
 
     def count(self, name):
-        """Return how many routers hold tokens of a budget, one at least.
+        """Return the number of holders of a budget, at least one.
 
-        While all routers stop nobody draws on it, and this one still holds
-        some.
+        While all routers are stopping there is no holder, but this router
+        still has tokens.
         """
         return max(1, len(self.for_budget(name)))
 
     def sharer_count(self, name):
-        """Return by how many routers to share a budget when drawing on it.
+        """Return among how many routers to divide a budget when drawing.
 
-        One that just started may seem alone.  Drawing for the whole fleet,
-        it would leave the others nothing until it has given it back.
+        A router that just started may know no other.  If it drew for the
+        whole fleet, the others would have nothing until it returned that.
         """
         count = self.count(name)
         return max(count, SMALL_FLEET) if self.is_starting else count
