--- a/rowanport/prepaid/batches.py
+++ b/rowanport/prepaid/batches.py
@@ -1,8 +1,8 @@
-"""Moves tokens between the store and this router, in numbered batches.
+"""Moves tokens between the store and this router in numbered batches.
 
-Each batch writes the budgets that it draws on and this router's own record,
-all or nothing.  One whose fate is unknown is sent again, unchanged, until
-the store tells whether its number stands in the own record.
+A batch writes the records of its budgets and this router's own record in one
+transaction.  If its outcome is unknown, the same writes are sent again until
+the store shows whether the router's record has the batch's number.
 """
 
 import asyncio
@@ -27,33 +27,39 @@
 
 LOG = structlog.get_logger(__name__)
 
-# Entries that the store takes in one write.
+# Maximum entries that the store accepts in one transaction.
 MAX_ENTRIES = 32
-# Budgets in one batch: a condition and a write for each of them and for the
-# own record, and a write for each lease.
+# Maximum budgets in one batch.  Each budget and the router's own record take a
+# condition and a write, each lease takes a write.
 BATCH_LIMIT = (MAX_ENTRIES - 2 - len(LEASE_SPANS)) // 2
-# Writes of one batch in a row that others' writes may overtake.
-CONFLICT_TRIES = 8
+# Attempts to write one batch while other routers' writes conflict with it.
+MAX_CONFLICTS = 8
 BUDGET_PREFIX = "rowanport/budget/"
 HOLDER_PREFIX = "rowanport/holder/"
-# Budgets in one log line about an ended run.
+# Maximum budgets in a log line about an ended run.
 LOGGED_BUDGETS = 20
-# Longest wait in seconds for peers' clocks at the start.
+# Maximum wait in seconds for peers' clocks at the start, and seconds between
+# two checks for them.
 CLOCKS_WAIT = 1.0
 CLOCKS_POLL = 0.02
 
 
 class Batch:
-    """Moves between the store and this router, written together.
-
-    :ivar planned_draws: tokens wished by budget; negative to give back
-    :ivar requested: tokens asked for by budget by the writes last made: what
-        the planned draws come to once the store's records are known
-    :ivar moves: tokens moved by budget by these writes
-    :ivar reported: tokens spent by budget that these writes count
-    :ivar writes: the writes last made, or None if they are to be made anew
+    """Draws and returns that are written together.
+
+    :ivar number: counts the batches of this run
+    :ivar planned_draws: tokens to draw by budget; negative to return some
+    :ivar requested: the planned draws by budget, trimmed to the store's
+        records as last seen
+    :ivar moves: tokens that the writes move by budget, at most what is left
+        in the store
+    :ivar reported: spent tokens of this router by budget, including those
+        that the writes report
+    :ivar writes: the Writes to send, None if they must be built
     :ivar allowance: the limits in these writes
-    :ivar uncertain: whether they may have taken effect unheard
+    :ivar record: the HolderRecord in these writes
+    :ivar uncertain: whether the writes may have taken effect without an
+        answer
     """
 
     __slots__ = (
@@ -81,16 +87,17 @@
 
 
 class BatchWriter:
-    """The store's side of one router's budgets.
+    """Writes one router's batches and recovers tokens of its earlier run.
 
     :param incarnation: this router's incarnation
     :param address: this router's peer address, the same in its next run
     :param store: a TransactionStore
-    :param allowances: the Allowances that bind this router
+    :param allowances: the Allowances that limit this router
     :param clock: a Clock
     :param clocks: the FleetClocks
-    :ivar on_record: function that is told of each budget's record that this
-        router wrote: the budget and the Value that stands in the store
+    :ivar batch: the Batch that is being written, or None
+    :ivar on_record: function that is called for each budget's record written,
+        with the budget and the stored Value
     """
 
     def __init__(self, incarnation, address, store, allowances, clock, clocks):
@@ -107,25 +114,26 @@
         self._number = 0
         self._recovered = False
         self._earlier_run = ""
-        # What an earlier run knew to be spent and no budget's record counts.
+        # Tokens by budget that an earlier run knew to be spent and that no
+        # budget's record counts.
         self._inherited_spent = {}
-        # Budgets of which the own record names tokens that this run spent.
+        # Budgets whose spent tokens this router's own record contains.
         self._recorded_spent = set()
         self.batch = None
         self.on_record = None
 
     @property
     def uncertain(self):
-        """Return whether a batch's fate is unknown."""
+        """Return whether the outcome of the current batch is unknown."""
         return self.batch is not None and self.batch.uncertain
 
     def begin(self, planned_draws):
-        """Start a batch of wishes; it is made by :meth:`write`."""
+        """Start a batch; its writes are built by :meth:`write`."""
         self._number += 1
         self.batch = Batch(self._number, planned_draws)
 
     def discard(self):
-        """Forget a batch that the store surely did not take; return it."""
+        """Discard and return a batch that is known not to be committed."""
         batch = self.batch
         self.batch = None
         if batch.allowance is not None:
@@ -135,15 +143,15 @@
     # Batches
 
     async def write(self, refill):
-        """Write the batch at hand; return it once it stands in the store.
+        """Write the current batch.
 
-        :param refill: the Refill, which tells what the accounts hold now
-        :returns: the Batch, or None if others' writes kept overtaking it
+        :param refill: the Refill, for the current state of the accounts
+        :returns: the committed Batch, None if too many attempts conflicted
         :raises StoreBusy: the store refused it
-        :raises StoreError: its fate is unknown
+        :raises StoreError: its outcome is unknown
         """
         batch = self.batch
-        for _try in range(CONFLICT_TRIES):
+        for _try in range(MAX_CONFLICTS):
             if batch.writes is None:
                 await self._leases.refresh()
                 self._build_writes(batch, refill)
@@ -153,19 +161,22 @@
                 self._update_values(batch, conflict.values)
                 if self._is_committed(batch):
                     return self._finish(batch)
-                # Writes with older versions can no longer take effect.
+                # Earlier sends of these writes can no longer take effect, as
+                # their versions are outdated.
                 self._discard_writes(batch)
                 if self._has_unrecovered_record():
                     self._recovered = False
-                    raise StoreBusy("an earlier run's record turned up")
+                    raise StoreBusy(
+                        "found an unrecovered record of an earlier run"
+                    )
                 continue
             except LeaseOver:
-                # Neither this send nor an earlier one can take effect now,
-                # unless an earlier one has: the condition tells.
+                # No send of these writes can take effect from now on.  If an
+                # earlier one did, the version check of the next send fails.
                 self._discard_leases(batch)
                 continue
             except StoreBusy:
-                # An earlier send of the same writes may still take effect.
+                # If uncertain, an earlier send may still take effect.
                 if not batch.uncertain:
                     self._discard_writes(batch)
                 raise
@@ -177,7 +188,7 @@
         return None
 
     def _discard_leases(self, batch):
-        """Send the same writes again without the leases that have ended."""
+        """Remove the expired leases from the writes, to send them again."""
         self._leases.discard()
         batch.writes = [w for w in batch.writes if w.lease is None]
 
@@ -189,12 +200,10 @@
     def _build_writes(self, batch, refill):
         writes = []
         unreported = refill.unreported()
-        for name, planned_draw in batch.planned_draws.items():
+        for name, draw in batch.planned_draws.items():
             record = self.record(name).copy()
             record.set_total(*refill.total(name))
-            batch.requested[name] = refill.trim(
-                name, planned_draw, record.remaining
-            )
+            batch.requested[name] = refill.trim(name, draw, record.remaining)
             batch.moves[name] = record.move(batch.requested[name])
             batch.reported[name] = refill.spent(name)
             record.spent += unreported.get(name, 0)
@@ -228,12 +237,13 @@
         batch.writes = writes
 
     def _unreported(self, refill, own, batch):
-        """Return what is spent by budget and not counted with a batch.
+        """Return the spent tokens by budget that a batch does not report.
 
-        A next run reports it; this one may end before its next draw.  What was
-        spent of a borrowed budget its lenders are told.
+        The record keeps them, so that the next run reports them if this one
+        ends before its next draw.  Tokens spent of a borrowed budget are
+        reported to its lenders instead.
 
-        :param own: what this run counts, by budget
+        :param own: unreported tokens that this run spent, by budget
         """
         drawn = {n: t for n, t in own.items() if not refill.is_borrower(n)}
         spent = collections.Counter(self._inherited_spent)
@@ -241,10 +251,10 @@
         return {n: t for n, t in spent.items() if n not in batch.planned_draws}
 
     def may_count_spent(self, name):
-        """Return whether the store may count what this run spent of a budget.
+        """Return whether the store may count tokens that this run spent.
 
-        It does if a batch stands whose answer was lost, and a next run has it
-        counted if the own record names it.
+        It may if the current batch was committed without an answer, or later
+        by the next run if this router's record contains them.
         """
         return self.batch is not None or name in self._recorded_spent
 
@@ -274,9 +284,9 @@
         )
 
     def _has_unrecovered_record(self):
-        """Return whether an earlier run's record is still to be dealt with.
+        """Return whether an earlier run's record is not recovered yet.
 
-        Its tokens could be given back no more once it is written over.
+        Overwriting it would lose the tokens that it accounts for.
         """
         own = self._own_record()
         known = (self._incarnation, self._earlier_run)
@@ -294,9 +304,9 @@
     # Records
 
     def merge_record(self, name, value):
-        """Take in a budget's record that a peer wrote, if it is newer.
+        """Merge a budget's record that a peer wrote, if it is newer.
 
-        If it is not true after all, the store refuses what builds on it.
+        If the record is wrong, the store refuses writes based on it.
         """
         key = BUDGET_PREFIX + name
         known = self._values.get(key)
@@ -310,7 +320,10 @@
         self._values[key] = value
 
     def record(self, name):
-        """Return the BudgetRecord of a budget as it was last seen."""
+        """Return the BudgetRecord of a budget as last seen.
+
+        :raises StoreBusy: the record is unreadable
+        """
         value = self._values.get(BUDGET_PREFIX + name)
         try:
             return BudgetRecord.unpack(value.data if value else b"")
@@ -326,17 +339,18 @@
             LOG.error("holder_unreadable", key=self._key, error=str(error))
             return HolderRecord()
 
-    # Recovery of what an earlier run of this router held
+    # Recovery of tokens that an earlier run of this router held
 
     @property
     def recovered(self):
-        """Return whether the earlier run's tokens are dealt with."""
+        """Return whether recovery of the earlier run's tokens is done."""
         return self._recovered
 
     async def recover(self):
-        """Give back to the store what an earlier run surely left unspent.
+        """Return to the store what an earlier run provably left unspent.
 
-        :raises StoreError: to be called again; nothing is given back twice
+        :raises StoreError: recovery is incomplete and must be repeated, which
+            returns no token twice
         """
         if not await self._may_have_record():
             self._recovered = True
@@ -354,19 +368,20 @@
             await self._return_unspent(old, names, unspent)
             for name in names:
                 del unspent[name]
-        # Refused requests of a spent budget are told so by what is known to be
-        # spent, and near its end few draw, so that reports of routers that
-        # ended are needed.  They wait for a draw, as routers that start
-        # together hold each other up with each write.
+        # Refusals say that a budget is spent only if the spent tokens are
+        # known.  Near its end few routers draw, so the counts of ended runs
+        # are needed, too.  They are written with the next draw, as additional
+        # writes of routers that start together would conflict.
         if old.incarnation != self._incarnation:
             self._inherited_spent = dict(old.spent)
         self._recovered = True
 
     async def _may_have_record(self):
-        """Return whether an earlier run wrote a record, as far as is known.
+        """Return whether an earlier run seems to have written a record.
 
-        Few routers of a larger fleet do.  An answer that is seconds old costs
-        a tenth; a record that it misses turns up at this run's first write.
+        In a larger fleet few routers do.  A stale read costs a tenth of a
+        current one; a record that it misses is found by this run's first
+        write.
         """
         if self._key in self._values:
             return True
@@ -374,7 +389,10 @@
         return value.version > 0
 
     async def _provably_unspent(self, old):
-        """Return by budget the tokens that an earlier run surely left."""
+        """Return by budget the tokens that an earlier run left unspent.
+
+        It is empty if no age is proved by which that run had ended.
+        """
         if not old.holdings:
             return {}
         age = process_age(old, self._started, self._started_wall)
@@ -408,11 +426,14 @@
         return self._clocks.latest() - since
 
     async def _return_unspent(self, old, names, unspent):
-        """Write what an earlier run left and used into budgets' records."""
+        """Write an earlier run's unspent and spent tokens to the budgets.
+
+        :raises StoreError: the outcome is unknown, or others' writes conflict
+        """
         spent = {name: old.spent.pop(name, 0) for name in names}
         for name in names:
             old.holdings.pop(name, None)
-        for _try in range(CONFLICT_TRIES):
+        for _try in range(MAX_CONFLICTS):
             writes = [self._write(self._key, old)]
             for name in names:
                 record = self.record(name).copy()
@@ -428,20 +449,20 @@
                 self._update_values(batch, conflict.values)
                 now = self._values.get(self._key)
                 if now is None or now.version != own.version:
-                    # An earlier send of this very write took effect.
-                    raise StoreBusy("recovered meanwhile") from None
+                    # An earlier send of the same writes took effect.
+                    raise StoreBusy("holder record changed") from None
                 continue
             self._record_written(writes, version)
             return
-        raise StoreBusy("others write the same budgets")
+        raise StoreBusy("others keep writing the same budgets")
 
 
 def _largest_as_log(accounts):
-    """Return the RunAccounts that hold most, as they stand in a log line."""
+    """Return the largest RunAccounts as fields for a log line."""
     largest = sorted(accounts.items(), key=lambda item: -item[1].tokens_in)
     return {name: a.as_log() for name, a in largest[:LOGGED_BUDGETS]}
 
 
 def _record_id(record):
-    """Return what the keys of leases hold: the record they go with."""
+    """Return the id of a record that its lease keys store."""
     return f"{record.incarnation} {record.number}".encode()
--- a/rowanport/prepaid/leases.py
+++ b/rowanport/prepaid/leases.py
@@ -1,7 +1,7 @@
-"""The leases that go with each record of a router.
+"""The leases that are written with each record of a router.
 
-They begin anew just before the record is made, so their keys tell how old it
-is at most, by the store's own clock.
+They are renewed just before the record is made, so a key that has not expired
+proves an upper bound of the record's age by the store's clock.
 """
 
 import asyncio
@@ -13,13 +13,13 @@
 from .allowance import LEASE_SPANS
 
 LEASE_PREFIX = "rowanport/lease/"
-# Part of its span up to which a lease serves for one more record: records in
-# quick succession, and long leases, then cost fewer calls.
+# Part of its span up to which a lease is reused for another record.  This
+# saves calls for records in quick succession and for long leases.
 REUSE_SHARE = 0.1
 
 
 class RecordLeases:
-    """One router's leases, one for each span.
+    """One router's leases, one for each span in ``LEASE_SPANS``.
 
     :param store: a TransactionStore
     :param address: the router's peer address, the same in its next run
@@ -33,34 +33,35 @@
             span: f"{LEASE_PREFIX}{address}/{span}" for span in LEASE_SPANS
         }
         self._leases = {}
-        # Steady time by span at which a lease may have begun at the earliest.
+        # Monotonic time by span of the earliest possible start of a lease.
         self._began_at = {}
 
     async def refresh(self):
-        """Let all leases begin anew just now, unless they did lately.
+        """Renew or grant all leases that were not refreshed recently.
 
         A renewal costs a tenth of a grant.
 
-        :raises StoreBusy: there are none to be had
+        :raises StoreBusy: a lease could not be renewed or granted
         """
         calls = [self._refresh_one(s) for s in self._keys if self._is_due(s)]
         for error in await asyncio.gather(*calls, return_exceptions=True):
             if isinstance(error, StoreError):
-                # A lease that nobody knows of changes nothing.
+                # Safe to repeat, even if the outcome is unknown: a lease that
+                # was granted without an answer has no key.
                 raise StoreBusy(f"no lease: {error}") from None
             if error is not None:
                 raise error
 
     def _is_due(self, span):
-        """Return whether a lease is to begin anew before the next record."""
+        """Return whether to refresh a lease before the next record."""
         if span not in self._leases:
             return True
         now = self._clock.steady()
         return now >= self._began_at[span] + REUSE_SHARE * span
 
     async def _refresh_one(self, span):
-        # A renewal without an answer may be done late, when the lease is to
-        # have ended: such a lease is not used again.
+        # A renewal without an answer may take effect late and extend the lease
+        # beyond its span.  Such a lease is not used again.
         lease = self._leases.pop(span, None)
         began = self._clock.steady()
         if lease is None or not await self._renew(lease):
@@ -70,7 +71,7 @@
         self._began_at[span] = began
 
     async def _renew(self, lease):
-        """Renew a lease; return whether it had not ended."""
+        """Renew a lease; return False if it has expired."""
         try:
             await self._store.renew_lease(lease)
         except LeaseOver:
@@ -78,20 +79,20 @@
         return True
 
     def discard(self):
-        """Use the leases at hand no more."""
+        """Stop using the current leases."""
         self._leases = {}
 
     def writes(self, record_id):
-        """Return the Writes that keep a record's mark while leases last."""
+        """Return the Writes that store a record's id under each lease."""
         return [
             Write(self._keys[span], record_id, None, lease)
             for span, lease in self._leases.items()
         ]
 
     async def shortest(self, record_id):
-        """Return the span of the shortest lease that keeps a mark, or None.
+        """Return the span of the shortest lease left of a record, or None.
 
-        :raises StoreError: it could not be read
+        :raises StoreError: the keys could not be read
         """
         for span, key in self._keys.items():
             value = await self._store.get_value(key)
--- a/rowanport/prepaid/record.py
+++ b/rowanport/prepaid/record.py
@@ -1,26 +1,25 @@
-"""What the store keeps of budgets, and of what each router holds."""
+"""Store records of budgets and of the tokens that each router holds."""
 
 import msgpack
 
 from ..errors import MessageError
 from .allowance import Limit
 
-# Seconds for which limits in records of earlier versions bind.
+# Seconds for which limits in records of earlier versions are in effect.
 OLD_HOLD_SECONDS = 2.6
-# Digits of seconds between two times of a record: its reader gets the very
-# spans that its writer kept to.
+# Decimal places of the seconds between two times of a record.  Rounding gives
+# the reader exactly the spans that the writer used.
 SPAN_DIGITS = 3
 
 
 class BudgetRecord:
-    """The store's side of one budget.
+    """The record of one budget.
 
-    :ivar taken: tokens out of the store, spent or held by routers
+    :ivar taken: tokens drawn from the store, spent or held by routers
     :ivar total: tokens paid for, by the newest configuration that a writer
         knew
     :ivar version: that configuration's version
-    :ivar spent: tokens that were surely used, as far as routers have told;
-        never more than really were
+    :ivar spent: used tokens that routers reported, a lower bound
     """
 
     __slots__ = ("taken", "total", "version", "spent")
@@ -33,14 +32,15 @@
 
     @property
     def remaining(self):
-        """Return the tokens that may still be taken."""
+        """Return the tokens that can still be drawn."""
         return max(0, self.total - self.taken)
 
     @classmethod
     def unpack(cls, data):
-        """Return the record in a store value; raise MessageError if unfit.
+        """Return the record in a store value.
 
-        :param data: the bytes; empty for a budget nobody has drawn on
+        :param data: the bytes; empty for a budget that was never drawn on
+        :raises MessageError: the data is malformed
         """
         return cls(*_unpack(data, 4, 4)) if data else cls()
 
@@ -50,19 +50,19 @@
         return msgpack.packb(fields)
 
     def copy(self):
-        """Return a record of its own with the same values."""
+        """Return a copy of the record."""
         return BudgetRecord(self.taken, self.total, self.version, self.spent)
 
     def set_total(self, total, version):
-        """Take over a total unless a newer one is known."""
+        """Apply a total unless the record has a newer one."""
         if version >= self.version:
             self.total = total
             self.version = version
 
     def move(self, tokens):
-        """Move tokens out to a holder, or back from it if negative.
+        """Move tokens to a holder, or back to the store if negative.
 
-        :returns: tokens moved; never more than are left
+        :returns: tokens moved, at most those remaining
         """
         moved = min(tokens, self.remaining)
         self.taken += moved
@@ -70,13 +70,13 @@
 
 
 class RunAccount:
-    """Where the tokens of one budget are that an ended run had.
+    """Accounts for the tokens of one budget that an ended run had.
 
-    :ivar tokens_in: tokens that came in
-    :ivar out: of these, tokens that had gone out when it wrote its record
-    :ivar under_way: of these, tokens set aside then for requests under way
-    :ivar let_go: tokens that it may have let go since, as its limit allowed
-    :ivar unspent: the rest, which surely was never spent
+    :ivar tokens_in: tokens received
+    :ivar out: part of these that had left when it wrote its record
+    :ivar under_way: part of ``out`` that was reserved for running requests
+    :ivar let_go: tokens that may have left since, as its limit allowed
+    :ivar unspent: the rest, which provably was not spent
     """
 
     __slots__ = ("tokens_in", "out", "under_way", "let_go", "unspent")
@@ -89,27 +89,27 @@
         self.unspent = tokens_in - out - let_go
 
     def as_log(self):
-        """Return it as it stands in a log line."""
+        """Return the fields for a log line."""
         return {name: getattr(self, name) for name in self.__slots__}
 
 
 class HolderRecord:
-    """What a router last said about the tokens that it holds.
+    """A router's last record of the tokens that it holds.
 
     :ivar incarnation: the run of the router that wrote it
     :ivar number: number of its last batch
-    :ivar made_at: its steady time just before it wrote
-    :ivar grows_at: its steady time from which its limits grow
-    :ivar lapses_at: its steady time from which they bind no more
-    :ivar wall: its wall time then
-    :ivar earliest: the earliest wall time that any clock of the fleet
-        showed then
-    :ivar holdings: by budget, (tokens in, base, pace): the last two are a
-        Limit of tokens out; all are counted from the start of that run
+    :ivar made_at: its monotonic time just before it wrote
+    :ivar grows_at: its monotonic time from which its limits grow
+    :ivar lapses_at: its monotonic time from which they are not in effect
+    :ivar wall: its wall time at ``made_at``
+    :ivar earliest: the earliest wall time that any clock of the fleet showed
+        at ``made_at``
+    :ivar holdings: by budget, (tokens received, base, growth); the last two
+        are a Limit of the outflow, and all count from the start of that run
     :ivar spent: by budget, tokens that it knew to be used and that no
         budget's record counts
-    :ivar out: by budget, tokens that had gone out, and those of them that
-        were set aside for requests under way
+    :ivar out: by budget, tokens that had left, and part of these that was
+        reserved for running requests
     """
 
     __slots__ = (
@@ -146,7 +146,7 @@
         self.holdings = holdings or {}
         self.spent = spent or {}
         self.out = out or {}
-        # Those of earlier versions grew at once, and bound for less long.
+        # Limits of earlier versions grew at once and lapsed earlier.
         self.grows_at = made_at if grows_at is None else grows_at
         if lapses_at is None:
             lapses_at = made_at + OLD_HOLD_SECONDS
@@ -154,13 +154,16 @@
 
     @property
     def effective_seconds(self):
-        """Return the age in seconds from which its limits bind no more."""
+        """Return the age in seconds at which its limits lapse."""
         return round(self.lapses_at - self.made_at, SPAN_DIGITS)
 
     @classmethod
     def unpack(cls, data):
-        """Return the record in a store value; raise MessageError if unfit."""
-        # Those of earlier versions do not name what was spent, or is out.
+        """Return the record in a store value.
+
+        :raises MessageError: the data is malformed
+        """
+        # Records of earlier versions lack the last fields, from ``spent`` on.
         return cls(*_unpack(data, 6, 10)) if data else cls()
 
     def pack(self):
@@ -181,9 +184,9 @@
         )
 
     def unspent(self, age):
-        """Return by budget the tokens that surely were never spent.
+        """Return by budget the tokens that provably were not spent.
 
-        :param age: seconds after this record by which its writer surely had
+        :param age: seconds after this record by which its writer provably had
             ended; see :mod:`rowanport.prepaid.allowance`
         """
         accounts = self.run_accounts(age)
@@ -192,8 +195,8 @@
     def run_accounts(self, age=None):
         """Return the RunAccount of each budget.
 
-        :param age: as for :meth:`unspent`; None if no age is proved, and all
-            that was held may have gone out
+        :param age: as for :meth:`unspent`; None if no age is proved, so that
+            all held tokens may have left
         """
         accounts = {}
         delay = round(self.grows_at - self.made_at, SPAN_DIGITS)
@@ -208,7 +211,12 @@
 
 
 def _unpack(data, least, most):
-    """Return the fields of a record, so many at least and at most."""
+    """Return the fields of a packed record.
+
+    :param least: minimum number of fields
+    :param most: maximum number of fields
+    :raises MessageError: the data is no list of that size
+    """
     try:
         values = msgpack.unpackb(data)
     except (ValueError, msgpack.UnpackException):
--- a/rowanport/prepaid/refill.py
+++ b/rowanport/prepaid/refill.py
@@ -1,4 +1,4 @@
-"""Keeps one router's accounts filled from the store, and its limits fresh."""
+"""Keeps one router's accounts filled from the store and its limits current."""
 
 import asyncio
 
@@ -15,20 +15,20 @@
 
 LOG = structlog.get_logger(__name__)
 
-# Seconds for which the store is not asked again for a budget that it had too
-# little of.
+# Seconds without further draws on a budget after the store had too few of its
+# tokens.
 STORE_EMPTY_SECONDS = 2.0
-# Shortest time in seconds between two records that only widen limits.
+# Minimum time in seconds between two records that only raise limits.
 WIDEN_PAUSE = 0.35
-# Seconds after the start before anything is drawn that no request waits for:
-# by the first a router knows whether the fleet is small, by the second most
-# routers of a fleet of a hundred.
+# Seconds after the start before the first draw for which no request waits, in
+# small and large fleets.  After the first a router knows whether the fleet is
+# small, after the second it knows most routers of a fleet of a hundred.
 FIRST_DRAW_SECONDS = 0.4
 LARGE_DRAW_SECONDS = 4.0
 
 
 class Refill:
-    """Decides what to draw and to give back, and when to write limits.
+    """Decides what to draw and to return, and when to write limits.
 
     :param incarnation: this router's incarnation
     :param accounts: the Accounts by budget, which it changes
@@ -67,49 +67,49 @@
 
     @property
     def stopping(self):
-        """Return whether nothing more is drawn."""
+        """Return whether the router stops drawing."""
         return self._stopping
 
     @property
     def released(self):
-        """Return the event that all that is held may go out."""
+        """Return the event that is set once all held tokens may leave."""
         return self._released
 
     def is_borrower(self, name):
-        """Return whether what this router holds of a budget is borrowed."""
+        """Return whether this router's tokens of a budget are borrowed."""
         return not self._holders.is_holder(name) and name not in self._drawn
 
     def set_totals(self, totals, version):
-        """Take over totals by budget, and their configuration's version."""
+        """Apply totals by budget, and their configuration's version."""
         for name, total in totals.items():
             if total != self._totals[0].get(name):
                 self._store_empty_until.pop(name, None)
         self._totals = (totals, version)
 
     def headroom(self, account):
-        """Return the tokens of an account that may go out, None for all."""
+        """Return the tokens that limits let out, None for any number."""
         return self._allowances.headroom(account, self._clock.steady())
 
     def allowed_at(self, account, tokens):
-        """Return the steady time from which limits let some tokens go."""
+        """Return the monotonic time from which limits let tokens out."""
         now = self._clock.steady()
         return self._allowances.allowed_at(account, tokens, now)
 
     def is_store_empty(self, name):
-        """Return whether the store lately had too little of a budget."""
+        """Return whether the store recently had too few of its tokens."""
         return self._clock.steady() < self._store_empty_until.get(name, 0.0)
 
     def release(self):
-        """Let everything that is held go out, and draw no more."""
+        """Stop drawing, and write limits that let out all held tokens."""
         self._stopping = True
 
     def return_all(self):
-        """Give back everything that is held, and what comes in from now on."""
+        """Return all held tokens, and those received from now on."""
         self._returning = True
 
     @property
     def is_returning(self):
-        """Return whether there is anything left to give back."""
+        """Return whether there is anything left to return."""
         if not self._returning:
             return False
         return self._writer.batch is not None or bool(self._plan_returns())
@@ -117,11 +117,12 @@
     # Steps
 
     async def sync(self):
-        """Bring the store and the accounts one step on.
+        """Recover the earlier run if not done, then write a batch if due.
 
-        :returns: whether a batch stands in the store that did not before
+        :returns: whether a batch was committed
         :raises StoreBusy: the store refused; nothing changed
-        :raises StoreError: a batch's fate is unknown; it goes out again
+        :raises StoreError: a batch's outcome is unknown; the next call sends
+            it again
         """
         try:
             return await self._step()
@@ -134,42 +135,38 @@
         if not self._writer.recovered:
             await self._writer.recover()
         if self._writer.batch is None:
-            planned_draws = (
+            draws = (
                 self._plan_returns() if self._stopping else self._plan_draws()
             )
-            if not planned_draws and not self._is_record_due():
+            if not draws and not self._is_record_due():
                 return False
-            self._begin(planned_draws)
+            self._begin(draws)
         return await self._write()
 
     def _plan_draws(self):
         now = self._clock.steady()
         too_early = self._is_too_early(now)
-        planned_draws = {}
+        draws = {}
         for name, account in self._accounts.items():
             if not self._holders.is_holder(name):
                 if self._must_return(account):
-                    planned_draws[name] = -account.available
+                    draws[name] = -account.available
                 continue
             needed = account.shortfall or account.borrower_shortfall
             if not needed and too_early:
                 continue
-            planned_draw = account.planned_draw(
-                self._holders.sharer_count(name), now
-            )
-            if planned_draw > 0 and now < self._store_empty_until.get(
-                name, 0.0
-            ):
+            draw = account.planned_draw(self._holders.sharer_count(name), now)
+            if draw > 0 and now < self._store_empty_until.get(name, 0.0):
                 continue
-            if planned_draw or account.recalled:
-                planned_draws[name] = planned_draw
-        return dict(list(planned_draws.items())[:BATCH_LIMIT])
+            if draw or account.recalled:
+                draws[name] = draw
+        return dict(list(draws.items())[:BATCH_LIMIT])
 
     def _is_too_early(self, now):
-        """Return whether most routers of a fleet would draw in vain now.
+        """Return whether it is too soon after the start to draw.
 
-        One that just started knows few others and takes itself for one of
-        those that draw.
+        A router that just started knows few others, so most would wrongly
+        take themselves for holders.
         """
         delay = (
             LARGE_DRAW_SECONDS
@@ -179,21 +176,22 @@
         return now < self._started + delay
 
     def _must_return(self, account):
-        """Return whether a router still holds what it drew as a holder.
+        """Return whether a router that is no holder must return its draw.
 
-        A router that just started may have taken the fleet for small.
+        It may have drawn after its start, when it knew too few routers to
+        tell that the fleet is large.
         """
         return account.name in self._drawn and not self._holders.is_starting
 
     def _plan_returns(self):
-        """Return what to give back at the end of a planned stop."""
+        """Return what to return at the end of a planned stop."""
         if not self._returning:
             return {}
         held = [a for a in self.held() if a.available > 0]
         return {a.name: -a.available for a in held[:BATCH_LIMIT]}
 
     def _is_record_due(self):
-        """Return whether the written limits are old or nearly used up."""
+        """Return whether to write limits, as they are old or nearly used."""
         newest = self._allowances.newest()
         if newest is None:
             return False
@@ -204,7 +202,7 @@
             not self._drawn
             and self._address not in self._holders.drawing_routers()
         ):
-            # What was only borrowed is not written down.
+            # Borrowed tokens are not recorded.
             return False
         now = self._clock.steady()
         if now > newest.made_at + RENEW_SECONDS:
@@ -216,9 +214,10 @@
         return any(self._is_limit_low(account) for account in held)
 
     def _is_limited(self, account):
-        """Return whether a limit, not a lack, makes somebody wait.
+        """Return whether a limit holds back tokens that are there.
 
-        A borrower takes a part of what it lacks, a request does not.
+        A borrower accepts a part of its shortfall; a request needs all of its
+        tokens.
         """
         headroom = self.headroom(account)
         if headroom is None:
@@ -239,7 +238,7 @@
         return [a for a in self._accounts.values() if a.inflow]
 
     def _allowance(self, account):
-        """Return the tokens that may go out at once after a record."""
+        """Return the tokens that may leave at once after a record."""
         if self._stopping:
             return account.available
         holders = self._holders.count(account.name)
@@ -248,68 +247,69 @@
     def _limit(self, account, inflow):
         """Return the Limit for a record that is about to be made.
 
-        :param inflow: tokens that came in, and those that the batch draws
+        :param inflow: tokens received, including those that the batch draws
         """
         base = min(inflow, account.outflow + self._allowance(account))
         holders = self._holders.count(account.name)
         return Limit(base, account.limit_growth(holders, self._clock.steady()))
 
-    def _begin(self, planned_draws):
-        for name, planned_draw in planned_draws.items():
-            if planned_draw < 0:
-                # Tokens on their way back are nobody's to spend.
-                self._accounts[name].debit(-planned_draw)
-        self._writer.begin(planned_draws)
+    def _begin(self, draws):
+        for name, draw in draws.items():
+            if draw < 0:
+                # Tokens that are being returned cannot be spent here.
+                self._accounts[name].debit(-draw)
+        self._writer.begin(draws)
 
     def _cancel_returns(self, batch):
-        for name, planned_draw in batch.planned_draws.items():
-            if planned_draw < 0:
-                self._accounts[name].cancel_debit(-planned_draw)
+        for name, draw in batch.planned_draws.items():
+            if draw < 0:
+                self._accounts[name].cancel_debit(-draw)
 
-    # Records of budgets
+    # Budget records
 
     def _announce_record(self, name, value):
         self._notifier.notify(self._holders.for_budget(name), name, value)
 
     def merge_record(self, name, value):
-        """Take in what a budget's record says, as a peer wrote it."""
+        """Merge a budget's record that a peer wrote."""
         self._writer.merge_record(name, value)
         account = self._accounts.get(name)
         if account is not None and self._writer.batch is None:
-            # Else the record may count what this router still adds to it.
+            # During a batch the record may count spent tokens that this router
+            # still takes for unreported.
             account.recorded = self._writer.record(name).spent
 
     def reportable_spent(self, account):
-        """Return the tokens spent here that a lender may be told to count.
+        """Return the tokens spent here to report to a lender.
 
-        What the store may count already would be counted twice, and the budget
-        be called spent too early.
+        It is 0 if the store may count them already: counted twice, the budget
+        would be refused as spent too early.
         """
         if self._writer.may_count_spent(account.name):
             return 0
         return account.unreported
 
-    # What the drawer writes down
+    # Values for the batch writer
 
     def total(self, name):
         """Return a budget's total and its configuration's version."""
         totals, version = self._totals
         return totals.get(name, 0), version
 
-    def trim(self, name, planned_draw, left):
-        """Return what to draw now that the store's record is known.
+    def trim(self, name, draw, left):
+        """Reduce a planned draw to what the store's record allows.
 
         :param left: tokens left in the store
         """
         count = self._holders.sharer_count(name)
-        return self._accounts[name].trim(planned_draw, count, left)
+        return self._accounts[name].trim(draw, count, left)
 
     def spent(self, name):
-        """Return the tokens of a budget that this router surely spent."""
+        """Return the tokens of a budget known to be spent by this router."""
         return self._accounts[name].spent
 
     def unreported(self):
-        """Return what is surely spent and no record counts, by budget."""
+        """Return the spent tokens that no record counts, by budget."""
         return {
             account.name: account.unreported
             for account in self._accounts.values()
@@ -317,9 +317,9 @@
         }
 
     def limits(self, moves):
-        """Return the Limit of tokens out by budget.
+        """Return the outflow Limit of each budget.
 
-        :param moves: tokens by budget that a batch moves in or out
+        :param moves: tokens by budget that a batch draws, negative if returned
         """
         limits = {}
         for name, account in self._accounts.items():
@@ -329,16 +329,16 @@
         return limits
 
     def outflows(self, names):
-        """Return what has gone out of some budgets.
+        """Return the outflow of some budgets.
 
-        :returns: by budget, tokens that went out or are set aside, and those
-            of them that are set aside for requests under way
+        :returns: by budget, tokens that left or are reserved, and part of
+            these that is reserved for running requests
         """
         accounts = {name: self._accounts[name] for name in names}
         return {n: (a.outflow, a.in_flight) for n, a in accounts.items()}
 
     def inflows(self):
-        """Return the tokens that came in so far, by budget."""
+        """Return the tokens received since the start, by budget."""
         return {name: a.inflow for name, a in self._accounts.items()}
 
     async def _write(self):
@@ -371,5 +371,5 @@
         return True
 
     def _is_released(self, batch):
-        """Return whether a batch lets all go out that is held."""
+        """Return whether a batch's limits let out all held tokens."""
         return not batch.record.unspent(0.0)
