--- a/rowanport/prepaid/__init__.py
+++ b/rowanport/prepaid/__init__.py
@@ -1,8 +1,9 @@
-"""Prepaid budgets held by many routers, safe without any agreement.
+"""Prepaid budgets whose tokens are spread over many routers.
 
-The store keeps for each budget how many tokens were taken from it.  What a
-router took it may spend, lend or give back, and nobody else counts it: a
-token is always in exactly one place.  See docs/design/prepaid.md.
+The store records for each budget how many tokens were drawn from it.  A router
+may spend, lend or return the tokens that it drew.  Each token is in exactly
+one place, so routers need no agreement to avoid spending one twice.  See
+docs/design/prepaid.md.
 """
 
 from .account import Account
--- a/rowanport/prepaid/clocks.py
+++ b/rowanport/prepaid/clocks.py
@@ -1,16 +1,16 @@
-"""The wall clocks of the fleet: the earliest and the latest of them.
+"""The earliest and the latest wall clock of the fleet.
 
-One machine's time of day may jump.  Whoever needs an upper bound of a time
-that passed compares the earliest clock then with the latest clock now: it is
-too short only if all clocks that were heard jumped alike.
+One machine's wall clock may jump.  An upper bound of an elapsed time is the
+difference between the latest clock now and the earliest clock then.  It is too
+short only if all observed clocks jumped alike.
 """
 
-# Seconds for which a peer's clock is taken as heard.
+# Seconds for which an observed offset of a peer's clock is used.
 OFFSET_SECONDS = 5.0
 
 
 class FleetClocks:
-    """What peers' wall clocks said, relative to the own one.
+    """Offsets of peers' wall clocks from this router's clock.
 
     :param clock: a Clock
     """
@@ -20,21 +20,21 @@
         self._offsets = {}
 
     def observe(self, peer, wall):
-        """Note a peer's wall time, just received."""
+        """Record a peer's wall time that was just received."""
         now = self._clock.steady()
         self._offsets[peer] = (wall - self._clock.wall(), now)
 
     def _recent_offsets(self):
-        limit = self._clock.steady() - OFFSET_SECONDS
+        oldest = self._clock.steady() - OFFSET_SECONDS
         return [
-            off
-            for off, observed_at in self._offsets.values()
-            if observed_at > limit
+            offset
+            for offset, observed_at in self._offsets.values()
+            if observed_at > oldest
         ]
 
     @property
     def has_recent_peers(self):
-        """Return whether any peer's clock was heard lately."""
+        """Return whether any peer's clock was observed recently."""
         return bool(self._recent_offsets())
 
     def earliest(self):
--- a/rowanport/prepaid/exhaustion.py
+++ b/rowanport/prepaid/exhaustion.py
@@ -1,19 +1,20 @@
-"""Why a request gets no tokens, and when it may come back."""
+"""Refusals of requests for want of tokens, and when to retry."""
 
 from ..errors import ErrorKind
 from ..errors import RequestError
 from .account import HORIZON
 
-# Least time in seconds after which a caller of a dry budget should return.
+# Minimum seconds after which a caller of an exhausted budget should retry.
 MIN_RETRY_SECONDS = 1.0
 
 
 class Exhaustion:
-    """Tells budgets that are spent from those that lack tokens for now.
+    """Tells spent budgets from those that lack tokens for now.
 
-    :param refill: the Refill, for the limits that bind
+    :param refill: the Refill, for the limits in effect
     :param clock: a Clock
-    :ivar store_lost_at: steady time since which the store is away, or None
+    :ivar store_lost_at: monotonic time since which the store is unavailable,
+        or None
     """
 
     def __init__(self, refill, clock):
@@ -22,14 +23,15 @@
         self.store_lost_at = None
 
     def is_spent(self, account, tokens):
-        """Return whether the whole fleet surely lacks some tokens.
+        """Return whether the fleet has fewer than some tokens unspent.
 
-        A router without the store may have missed a top-up.
+        It is False while the store is unavailable, as this router may have
+        missed a top-up.
         """
         return self.store_lost_at is None and account.unspent < tokens
 
     def error(self, account, tokens):
-        """Return the refusal of a request, and when it may come back."""
+        """Return the RequestError for a refused request."""
         if self.is_spent(account, tokens):
             return RequestError(
                 ErrorKind.BUDGET_SPENT,
@@ -44,14 +46,14 @@
         )
 
     def _come_back_at(self, account, tokens):
-        """Return the steady time from which on there may be tokens.
+        """Return the monotonic time from which there may be tokens.
 
-        Where a limit holds them back, they are free once it has lapsed.
-        What is lacking comes with the store, once it is back, or by a
-        request that ends.
+        Tokens held back by a limit are free once it grows or lapses.  Missing
+        tokens come from the store, once it is back, or from a request that
+        ends.
         """
         if account.loan_unanswered:
-            # This router is badly connected: another one may have tokens.
+            # This router may be badly connected; another one may have tokens.
             return self._clock.steady()
         soon = self._clock.steady() + MIN_RETRY_SECONDS
         if account.available >= tokens:
--- a/rowanport/prepaid/handoff.py
+++ b/rowanport/prepaid/handoff.py
@@ -1,8 +1,9 @@
-"""Hand-overs of tokens, at a planned stop to routers that go on.
+"""Handoffs of tokens to other routers, as at a planned stop.
 
-A hand-over without an answer may have been taken, so its tokens go to nobody
-else, nor to the store: it is sent again to the same run of the same heir
-until that says what it did.  What an heir refuses it never takes.
+A handoff without an answer may have been accepted, so its tokens are given to
+no other router nor to the store.  It is sent again to the same run of the same
+recipient until that answers.  A recipient never accepts a handoff that it has
+refused.
 """
 
 import asyncio
@@ -22,25 +23,25 @@
 LOG = structlog.get_logger(__name__)
 
 # Peers that share what a stopping router held.
-RECIPIENTS = 3
-# Peers that are asked first whether they take tokens, and seconds for the
-# answer: a few round trips between data centres.  A connection that turned
-# silent, or a peer that stops, is found before any token depends on it.
-CANDIDATES = 6
+MAX_RECIPIENTS = 3
+# Peers that are asked first whether they accept tokens, and seconds for
+# the answer: a few round trips between data centres.  This finds stalled
+# connections and stopping peers before any token depends on them.
+MAX_CANDIDATES = 6
 PROBE_TIMEOUT = 0.15
-# Seconds for each try of a hand-over, and between two of them.
+# Seconds for each attempt of a handoff, and between two attempts.
 ATTEMPT_TIMEOUT = 0.4
 ATTEMPT_PAUSE = 0.2
-# Seconds after which no try follows, and for which an heir remembers what it
-# took: far longer, as a try may be on its way while its link is down.
+# Seconds after which no attempt follows, and for which a recipient remembers
+# its replies: far longer, as an attempt may arrive late if its link was down.
 RETRY_SECONDS = 10.0
 REPLY_MEMORY = 600.0
-# Between the heir and the random part in a hand-over's id.
+# Separates the recipient's incarnation from the random part of a handoff id.
 ID_SEPARATOR = "~"
 
 
 class Handoffs:
-    """Passes tokens on, and takes those of others.
+    """Sends tokens to peers, and accepts those of peers.
 
     :param keeper: the BudgetKeeper, for its accounts
     :param incarnation: this router's incarnation
@@ -59,15 +60,15 @@
         self._tasks = TaskSet()
         self._unanswered = {}
 
-    # Taking
+    # Receiving
 
     def handle(self, message):
-        """Answer a HandOver of a peer; one with nothing in it only asks."""
+        """Answer a peer's HandOver; an empty one only asks if it may send."""
         if not message.tokens and not message.spent:
             return self._refusal(message) or Ack()
-        return self._replies.handle_once(message.id, self._inherit, message)
+        return self._replies.handle_once(message.id, self._accept, message)
 
-    def _inherit(self, message):
+    def _accept(self, message):
         refusal = self._refusal(message)
         if refusal is not None:
             return refusal
@@ -85,27 +86,29 @@
         return Ack()
 
     def _refusal(self, message):
-        """Return the Refused for a hand-over, None if it is welcome."""
+        """Return the Refused for a handoff, None if it is accepted."""
         if not self._is_for_this_run(message):
-            # The run that was meant may have taken it.
-            return Refused(ErrorKind.NOT_READY.value, "another run was meant")
+            # The run that it was sent to may have accepted it.
+            return Refused(ErrorKind.NOT_READY.value, "sent to another run")
         if self._keeper.stopping:
-            return Refused(ErrorKind.STOPPING.value, "this router stops too")
+            return Refused(
+                ErrorKind.STOPPING.value, "this router is stopping, too"
+            )
         return None
 
     def _is_for_this_run(self, message):
-        recipient, mark, _random = message.id.partition(ID_SEPARATOR)
-        return not mark or recipient == self._incarnation
+        recipient, separator, _random = message.id.partition(ID_SEPARATOR)
+        return not separator or recipient == self._incarnation
 
-    # Passing on
+    # Sending
 
     async def find_recipients(self):
-        """Return ready peers that answer and take tokens now."""
-        candidates = self._members.ready_others()[:CANDIDATES]
+        """Return ready peers that answer and accept tokens now."""
+        candidates = self._members.ready_others()[:MAX_CANDIDATES]
         calls = [self._accepts_tokens(peer) for peer in candidates]
         answers = await asyncio.gather(*calls)
-        recipients = [p for p, willing in zip(candidates, answers) if willing]
-        return recipients[:RECIPIENTS]
+        recipients = [p for p, accepts in zip(candidates, answers) if accepts]
+        return recipients[:MAX_RECIPIENTS]
 
     async def _accepts_tokens(self, peer):
         try:
@@ -126,11 +129,14 @@
         )
 
     async def distribute(self, recipients, tokens, deadline):
-        """Pass tokens by budget on to some peers, in even shares.
+        """Hand tokens off to peers in even shares.
 
-        Those without an answer by then are sent again meanwhile.
+        It returns after one attempt; unanswered shares are retried in the
+        background.
 
-        :param deadline: steady time after which not to wait for answers
+        :param recipients: incarnations of the peers
+        :param tokens: tokens by budget
+        :param deadline: monotonic time after which not to wait for answers
         """
         shares = _split(tokens, len(recipients))
         tasks = [
@@ -143,9 +149,11 @@
             await asyncio.wait(tasks, timeout=min(ATTEMPT_TIMEOUT, left))
 
     def send(self, recipient, tokens, spent):
-        """Pass tokens by budget on to one peer; return at once.
+        """Hand tokens off to one peer in the background.
 
-        :param spent: tokens by budget that it is to count as used
+        :param recipient: incarnation of the peer
+        :param tokens: tokens by budget
+        :param spent: tokens by budget that the peer is to count as spent
         """
         self._tasks.spawn(self._send_share(recipient, tokens, spent))
 
@@ -166,13 +174,13 @@
             self._keeper.cancel_debits(tokens)
             self._keeper.cancel_spent_reports(spent)
         else:
-            # The heir may have them: nobody may be given the same tokens.
+            # The recipient may have accepted them: give them to no one else.
             LOG.warning("tokens_stranded", heir=recipient, tokens=tokens)
 
     async def _send(self, recipient, message):
-        """Send a hand-over until it is answered; return None if it is not."""
-        last_try_at = self._clock.steady() + RETRY_SECONDS
-        while self._clock.steady() < last_try_at:
+        """Send a handoff until it is answered; return the answer or None."""
+        last_attempt_at = self._clock.steady() + RETRY_SECONDS
+        while self._clock.steady() < last_attempt_at:
             try:
                 return await self._peers.call(
                     address_of(recipient), message, ATTEMPT_TIMEOUT
@@ -182,21 +190,21 @@
             await asyncio.sleep(ATTEMPT_PAUSE)
         return None
 
-    def report(self):
-        """Log the hand-overs that have had no answer yet."""
+    def log_unanswered(self):
+        """Log the handoffs without an answer so far."""
         for recipient, tokens in self._unanswered.values():
             LOG.warning("hand_over_unanswered", heir=recipient, tokens=tokens)
 
 
 def _is_refused(answer):
-    """Return whether an heir surely did not take tokens, nor ever will."""
+    """Return whether the recipient has not accepted and never will."""
     return (
         isinstance(answer, Refused) and answer.kind == ErrorKind.STOPPING.value
     )
 
 
 def _split(tokens, count):
-    """Return tokens by budget in a number of even shares."""
+    """Split tokens by budget into a number of even shares."""
     shares = [{} for _ in range(count)]
     for name, amount in tokens.items():
         for index, share in enumerate(shares):
--- a/rowanport/prepaid/keeper.py
+++ b/rowanport/prepaid/keeper.py
@@ -1,4 +1,4 @@
-"""All budgets of one router: reserve, settle, and keep enough tokens."""
+"""All budgets of one router: reserves, settles and refills tokens."""
 
 import asyncio
 import random
@@ -26,42 +26,44 @@
 
 LOG = structlog.get_logger(__name__)
 
-# Seconds between two looks at all accounts while nobody waits: a draw covers
-# seconds of demand, so this delays nothing.
+# Seconds between two checks of all accounts while no request waits.  A draw
+# covers seconds of demand, so this delays no request.
 CHECK_INTERVAL = 0.35
-# Shortest time in seconds between two batches while requests wait, and after
+# Minimum time in seconds between two batches while requests wait, and after
 # the store failed.
 URGENT_PAUSE = 0.02
 FAILED_PAUSE = 0.3
-# Longest wait of a request for tokens in seconds: a refusal within a quarter
-# of the shortest objective of a stream (600 ms) still helps its caller.
+# Maximum wait of a request for tokens in seconds.  A refusal within a quarter
+# of the shortest latency objective of a stream (600 ms) still helps callers.
 RESERVE_WAIT = 0.14
-# Longest wait in seconds for a limit that soon lets tokens go, half of the
-# objective of a stream: served so, a request is still in time.
+# Maximum wait in seconds for a limit that will soon let tokens out, half of
+# the latency objective of a stream: a request is still in time after this.
 LIMIT_WAIT = 0.4
-# Seconds added to such a wait, so that the limit surely has grown.
+# Seconds added to such a wait, to be sure that the limit has grown.
 LIMIT_MARGIN = 0.005
-# Seconds in which a router that draws tokens has drawn, and opened its limits:
-# after these a router that draws none asks again, and one that is held back by
-# a limit asks others.
+# Seconds in which a holder draws tokens and raises its limits.  After these a
+# borrower asks again, and a holder that a limit holds back asks its peers.
 RETRY_PAUSE = 0.03
-# Seconds for which a budget is called dry after nobody had tokens.
+# Seconds for which peers are not asked again after none had tokens.
 EXHAUSTED_SECONDS = 0.25
-# Seconds between two log lines about what is held, and budgets in one.
+# Seconds between two log lines about held tokens, and maximum budgets in one.
 REPORT_SECONDS = 5.0
 REPORT_BUDGETS = 20
-# Longest wait in seconds for the last record at a planned stop.
+# Maximum wait in seconds for the last record at a planned stop.
 RELEASE_WAIT = 0.3
-# Longest time in seconds of a hand-over: what a planned stop leaves for it.
+# Maximum duration in seconds of a handoff, the time that a planned stop leaves
+# for it.
 HANDOFF_SECONDS = 0.7
-# Seconds between two looks whether all is given back.
+# Seconds between two checks whether all tokens are returned.
 RETURN_POLL = 0.01
 
 
 class _Waiter:
     """A request that waits for tokens.
 
-    :ivar waits_for_limit: whether it waits for a limit that soon lets it go
+    :ivar tokens: tokens that the request needs
+    :ivar waits_for_limit: whether a limit will soon let these tokens out
+    :ivar future: done once the tokens are reserved or refused
     """
 
     __slots__ = ("tokens", "waits_for_limit", "future")
@@ -122,7 +124,7 @@
 
     @property
     def stopping(self):
-        """Return whether this router has begun to hand over what it holds."""
+        """Return whether this router has begun to hand off its tokens."""
         return self._refill.stopping
 
     def holders(self, name):
@@ -136,9 +138,10 @@
     # Configuration
 
     def set_totals(self, totals, version):
-        """Take over the totals of a configuration.
+        """Apply the totals of a configuration.
 
         :param totals: tokens paid for by budget
+        :param version: the configuration's version
         """
         self._refill.set_totals(totals, version)
         for name, total in totals.items():
@@ -157,15 +160,15 @@
         return account
 
     def headroom(self, account):
-        """Return the tokens of an Account that may go out, None for all."""
+        """Return the tokens that limits let out, None for any number."""
         return self._refill.headroom(account)
 
     # Requests
 
     async def reserve(self, name, tokens):
-        """Set tokens of a budget aside, with a short wait.
+        """Reserve tokens of a budget, waiting for a short time.
 
-        :raises RequestError: there are none to be had
+        :raises RequestError: there were too few tokens
         """
         now = self._clock.steady()
         account = self._account(name)
@@ -198,18 +201,19 @@
                 account.waiters.remove(waiter)
 
     def try_reserve(self, name, tokens):
-        """Set tokens of a budget aside without a wait; return whether."""
+        """Reserve tokens of a budget without waiting; return whether."""
         return self._reserve(self._account(name), tokens)
 
     def _reserve(self, account, tokens):
-        """Set tokens aside if there are enough; return whether."""
+        """Reserve tokens if there are enough; return whether it did."""
         now = self._clock.steady()
         return account.reserve(tokens, self.headroom(account), now)
 
     def _allowed_soon_at(self, account, tokens):
-        """Return the steady time soon at which a limit lets tokens go.
+        """Return the monotonic time at which limits will let tokens out.
 
-        :returns: None if there are too few tokens, or not soon
+        :returns: None if there are too few tokens, or if it takes longer than
+            ``LIMIT_WAIT``
         """
         if (
             account.recalled
@@ -223,9 +227,9 @@
         return allowed_at + LIMIT_MARGIN if soon else None
 
     def _grant_late(self, account, waiter):
-        """Give a waiter its tokens at the end of its wait, or refuse it.
+        """Try once more to reserve tokens at the end of a wait.
 
-        :raises RequestError: there are none to be had
+        :raises RequestError: there are too few tokens
         """
         if _granted(waiter.future):
             return
@@ -233,10 +237,10 @@
             raise self._exhaustion.error(account, waiter.tokens)
 
     def settle(self, name, tokens, used, spent=0):
-        """End a reservation of which some tokens were used.
+        """End a reservation and release its unused tokens.
 
         :param used: tokens that may have been used
-        :param spent: tokens that surely were
+        :param spent: tokens that are known to be used
         """
         account = self._account(name)
         account.settle(tokens, used, self._clock.steady(), spent)
@@ -244,7 +248,7 @@
 
     def _serve_waiters(self, account):
         for waiter in list(account.waiters):
-            # One that gave up stays listed until its task runs again.
+            # A waiter that timed out stays listed until its task runs again.
             if waiter.future.done():
                 continue
             if self._reserve(account, waiter.tokens):
@@ -252,7 +256,10 @@
                 waiter.future.set_result(None)
 
     def _refuse_waiters(self, account):
-        """Refuse all that wait in vain: nobody has tokens."""
+        """Refuse all waiting requests, as no peer has tokens.
+
+        Requests that wait for a limit are not affected.
+        """
         account.exhausted_until = self._clock.steady() + EXHAUSTED_SECONDS
         for waiter in account.waiters:
             if not waiter.waits_for_limit and not waiter.future.done():
@@ -273,14 +280,14 @@
         return self._handoffs.handle(message)
 
     def credit(self, name, tokens):
-        """Take in tokens from a peer."""
+        """Add tokens borrowed from a peer."""
         account = self._account(name)
         account.credit(tokens)
         account.exhausted_until = 0.0
         self._serve_waiters(account)
 
     def accept_handoff(self, name, tokens, sender):
-        """Take in tokens that a peer hands over.
+        """Add tokens that a peer handed off.
 
         :param sender: its peer address
         """
@@ -293,50 +300,53 @@
         self._serve_waiters(account)
 
     def add_spent(self, name, tokens):
-        """Count tokens that a borrower surely used as this router's own."""
+        """Count a borrower's spent tokens as spent by this router."""
         self._account(name).spent += tokens
 
     def merge_spent(self, name, tokens):
-        """Take in how many tokens were surely used, as a peer knows."""
+        """Merge a peer's count of spent tokens."""
         self._account(name).merge_spent(tokens)
 
     def cancel_spent_reports(self, tokens):
-        """Take back by budget what no peer counts after all."""
+        """Count tokens by budget as unreported, as the peer refused them."""
         for name, amount in tokens.items():
             self._account(name).reported -= amount
 
     def cancel_debits(self, tokens):
-        """Take back tokens by budget that nobody else has taken."""
+        """Take back tokens by budget whose handoff was refused."""
         for name, amount in tokens.items():
             account = self._account(name)
             account.cancel_debit(amount)
             self._serve_waiters(account)
 
     def lend(self, name, tokens, borrower):
-        """Return how many tokens are lent to a peer that needs some.
+        """Lend tokens to a peer; return how many.
 
+        :param tokens: tokens that the peer needs
         :param borrower: its peer address
         """
         account = self._account(name)
         now = self._clock.steady()
         draws = borrower in self._holders.for_budget(name)
         if not draws:
-            # This is where its demand is seen.
+            # A borrower's demand counts at its lenders.
             account.record_demand(tokens, now)
         lent = account.lend(tokens, self.headroom(account), now, draws)
         if lent < tokens and not draws and self.is_holder(name):
-            # The borrower asks again soon: by then there is more to draw on,
-            # and a limit that lets it go.  One that draws itself does so: all
-            # that it asks would draw what it lacks as well, for nobody.
+            # A borrower asks again soon.  By then this router has drawn the
+            # shortfall and written a limit that lets it out.  This is not done
+            # for a peer that draws itself: every lender that it asks would
+            # draw its shortfall as well, and no one would use that.
             account.record_shortfall(borrower, tokens - lent)
             self._wake.set()
         return lent
 
     def no_loan(self, name):
-        """Return the NoLoan for a borrower that gets no tokens of a budget."""
+        """Return the NoLoan reply for a borrower that gets no tokens."""
         account = self._account(name)
         lost = self._exhaustion.store_lost_at is not None
-        # What is here only waits for a limit, which the next record opens.
+        # Tokens that are here wait for a limit only, which the next record
+        # raises.
         empty = self._refill.is_store_empty(name) and account.available <= 0
         draws = self.is_holder(name) and not (lost or empty or self.stopping)
         return NoLoan(name, draws, account.known_spent)
@@ -350,8 +360,8 @@
     async def _request_loan(self, account):
         if self.is_holder(account.name):
             if not account.shortfall:
-                # A limit holds tokens back: mostly the next record opens it.
-                # In a cut peers may still let some go.
+                # A limit holds tokens back.  Usually the next record raises
+                # it; in a cut from the store peers may have tokens to lend.
                 await asyncio.sleep(RETRY_PAUSE)
             await self._loans.ask_all(account)
         else:
@@ -364,10 +374,10 @@
             self._refuse_waiters(account)
 
     async def _borrow(self, account):
-        """Ask those that draw, and again as long as they have or draw some.
+        """Ask holders, repeatedly while they have or draw tokens.
 
-        Others are asked last: a dozen of them first, in vain, are four round
-        trips out of the 0.14 s that a request waits.
+        Other routers are asked last: asking a dozen of them in vain takes four
+        round trips of the 0.14 s that a request waits.
         """
         result = await self._loans.ask_holders(account)
         while account.waiters and result is LoanResult.AVAILABLE:
@@ -382,7 +392,7 @@
     # Store
 
     async def run(self):
-        """Draw, give back and renew limits until cancelled."""
+        """Draw and return tokens and renew limits until cancelled."""
         while True:
             beat()
             self._wake.clear()
@@ -403,7 +413,7 @@
                 await self._sleep()
 
     def _is_urgent(self):
-        """Return whether the next batch is not to wait."""
+        """Return whether the next batch is due without a pause."""
         waiting = any(a.waiters for a in self._accounts.values())
         return waiting or self._refill.is_returning
 
@@ -423,7 +433,7 @@
             pass
 
     def _report(self):
-        """Log now and then what is held of the largest budgets."""
+        """Log the held tokens of the largest budgets at intervals."""
         now = self._clock.steady()
         if now < self._next_report:
             return
@@ -450,16 +460,17 @@
     # Planned stop
 
     def withhold(self, tokens):
-        """Keep some tokens by budget from being handed over."""
+        """Set the tokens by budget that handoffs leave out."""
         self._withheld = tokens
 
     async def hand_off(self):
-        """Pass all free tokens on; called as a stop begins and as it ends.
+        """Hand all available tokens off to peers.
 
-        Where the store can be reached, a last record first lets all of them
-        go; where it cannot, those beyond the written limits follow at the
-        next call, once the limits bind no more.  What no peer takes serves
-        here until the next call, which gives it back to the store.
+        It is called twice, as a planned stop begins and as it ends.  If the
+        store is reachable, a last record first lets out all tokens.  If not,
+        those beyond the written limits follow at the second call, once the
+        limits have lapsed.  Tokens that no peer accepts are used here until
+        the second call, which returns them to the store.
         """
         is_last = self.stopping
         deadline = self._clock.steady() + HANDOFF_SECONDS
@@ -472,7 +483,7 @@
             await self._handoffs.distribute(recipients, tokens, deadline)
         if is_last:
             await self._return_to_store(deadline)
-        self._handoffs.report()
+        self._handoffs.log_unanswered()
 
     async def _wait_for_release(self):
         try:
@@ -484,9 +495,9 @@
             )
 
     async def _return_to_store(self, deadline):
-        """Give back to the store what no peer took.
+        """Return the tokens that no peer accepted to the store.
 
-        :param deadline: steady time after which not to wait for it
+        :param deadline: monotonic time after which not to wait for it
         """
         self._refill.return_all()
         self._wake.set()
@@ -498,7 +509,7 @@
             await asyncio.sleep(RETURN_POLL)
 
     def _debit_free(self):
-        """Take out all tokens that may go out now, by budget."""
+        """Debit all tokens that may leave now; return them by budget."""
         tokens = {}
         for name, account in self._accounts.items():
             headroom = self.headroom(account)
--- a/rowanport/prepaid/loan_returns.py
+++ b/rowanport/prepaid/loan_returns.py
@@ -1,31 +1,30 @@
-"""Brings what a router borrowed and does not need back to lenders.
+"""Returns borrowed tokens that a router does not need to lenders.
 
-A request sets aside what it may use at most, and what it leaves unused stayed
-with its router, where nobody asked for it and where it was lost with the
-machine.  In a large fleet that is a good part of a small budget.
+A request reserves the most that it may use.  Without returns, the unused rest
+would stay with its router, where few requests need it and where it is lost
+with the machine: in a large fleet a good part of a small budget.
 
-Lenders hear what was used, too: who draws tells others that a budget is spent,
-so that callers are not told to come back in vain.
+Spent tokens are reported to lenders as well.  Routers that draw can then tell
+the others that a budget is spent, and callers are not asked to retry in vain.
 """
 
 import random
 
 from ..incarnation import address_of
 
-# Seconds between two looks at all accounts: not each time that tokens are
-# drawn for somebody who waits.
+# Seconds between two checks of all accounts, so that they are not checked at
+# each draw for a waiting request.
 CHECK_SECONDS = 0.25
-# Seconds after the last request of a budget for which the rest is kept: a
-# caller's next request, sent when an answer has come, often meets the same
-# router.
+# Seconds after the last grant for which the rest is kept, as a caller's next
+# request, sent after the answer, often arrives at the same router.
 IDLE_SECONDS = 0.5
 
 
 class _Share:
-    """What one lender is sent, by budget.
+    """What is sent to one lender, by budget.
 
     :ivar tokens: idle tokens
-    :ivar spent: tokens that it is to count as used
+    :ivar spent: tokens that it is to count as spent
     """
 
     __slots__ = ("tokens", "spent")
@@ -36,11 +35,11 @@
 
 
 class LoanReturns:
-    """Hands over what this router borrowed and does not need.
+    """Hands idle borrowed tokens off to lenders.
 
     :param accounts: the Accounts by budget
     :param holders: the Holders
-    :param refill: the Refill, which knows what is borrowed
+    :param refill: the Refill, which knows which budgets are borrowed
     :param handoffs: the Handoffs
     :param members: the Membership
     :param clock: a Clock
@@ -56,7 +55,7 @@
         self._next_check = clock.steady()
 
     def send(self):
-        """Send idle tokens and what was spent, each lender at once."""
+        """Send idle tokens and spent counts, one message to each lender."""
         now = self._clock.steady()
         if now < self._next_check:
             return
@@ -98,5 +97,6 @@
         reportable_spent = self._refill.reportable_spent(account)
         if reportable_spent > 0:
             share.spent[account.name] = reportable_spent
-            # At once: an answer that names more would count it twice.
+            # Counted as reported before the answer.  Otherwise a NoLoan reply
+            # that includes these tokens would count them twice.
             account.reported += reportable_spent
--- a/rowanport/prepaid/loans.py
+++ b/rowanport/prepaid/loans.py
@@ -18,34 +18,34 @@
 
 LOG = structlog.get_logger(__name__)
 
-# Longest wait for a peer's loan in seconds: a few round trips between data
-# centres.
+# Seconds for the first attempt of a loan request: a few round trips between
+# data centres.
 ASK_TIMEOUT = 0.1
-# Seconds for each later try of an ask, between two of them, and after which
-# none follows: a connection that turned silent is replaced within a second,
-# and what was lent without an answer is lost for good.
+# Seconds for each later attempt of a request, between two attempts, and after
+# which none follows.  A stalled connection is replaced within a second, and
+# tokens lent without an answer are lost for good.
 RETRY_TIMEOUT = 0.4
 RETRY_PAUSE = 0.1
 RETRY_SECONDS = 3.0
 # Peers asked at once; each lends half of what it has.
 ASK_FANOUT = 3
-# Peers asked in all.
-ASK_LIMIT = 16
-# Seconds for which answers to asks are remembered.
+# Maximum peers asked for one loan.
+MAX_ASKED = 16
+# Seconds for which a lender remembers its replies.
 REPLY_MEMORY = 30.0
 
 
 class LoanResult(enum.IntEnum):
-    """What came of asking peers; of several answers the highest counts."""
+    """Outcome of asking peers; of several the highest counts."""
 
     UNANSWERED = 0
     NOT_AVAILABLE = 1
-    # Some tokens, or the word of one that has none but draws them now.
+    # A peer lent some, or has none but is drawing them now.
     AVAILABLE = 2
 
 
 class Loans:
-    """Asks peers for tokens and answers theirs.
+    """Borrows tokens from peers and lends to them.
 
     :param keeper: the BudgetKeeper, for its accounts
     :param incarnation: this router's incarnation
@@ -63,12 +63,12 @@
         self._replies = ReplyCache(clock, REPLY_MEMORY)
         self._tasks = TaskSet()
 
-    # Asking
+    # Borrowing
 
     async def ask_holders(self, account):
-        """Ask those that draw in turn until an account has what it needs.
+        """Ask the budget's holders in turn until an account has enough.
 
-        :returns: the best answer as an Asked
+        :returns: the best LoanResult
         """
         holders = self._keeper.holders(account.name)
         others = self._candidates(account)
@@ -77,13 +77,13 @@
         )
 
     async def ask_all(self, account):
-        """Ask peers in turn until an account has what it needs."""
+        """Ask peers in turn until an account has enough."""
         await self._ask_each(account, self._candidates(account))
 
     async def _ask_each(self, account, others):
-        """Ask peers at some addresses; return the best answer as an Asked."""
-        # What several lend at once is too much for a router that draws none:
-        # it is lost if the router ends.
+        """Ask peers by address; return the best LoanResult."""
+        # A router that does not draw asks one peer first: several would lend
+        # more than it needs, and that is lost if the router ends.
         draws = self._keeper.is_holder(account.name)
         count = ASK_FANOUT if draws else 1
         best = LoanResult.UNANSWERED
@@ -92,20 +92,21 @@
             tokens = account.loan_size(headroom, self._clock.steady())
             if not tokens:
                 break
-            wave, others = others[:count], others[count:]
+            group, others = others[:count], others[count:]
             if not draws:
-                tokens = math.ceil(tokens / len(wave))
-            asks = (self._ask(account, address, tokens) for address in wave)
+                tokens = math.ceil(tokens / len(group))
+            asks = (self._ask(account, address, tokens) for address in group)
             best = max(best, *await asyncio.gather(*asks))
             count = ASK_FANOUT
         return best
 
     def _candidates(self, account):
-        """Return the addresses of other live routers, those that draw first.
+        """Return the addresses of the peers to ask, in order.
 
-        One that just started has not heard of all that draw, but of where
-        they are.  Before all comes the one that lent some: near the end of a
-        budget a single one may have what is left.
+        The last lender comes first, as near the end of a budget a single
+        router may have all that is left; then holders, then other live
+        routers.  Holders that are known by address only are included, as a
+        router that just started has not heard from all of them.
         """
         own = address_of(self._incarnation)
         others = [address_of(peer) for peer in self._members.others()]
@@ -114,17 +115,17 @@
         random.shuffle(others)
         others.sort(key=lambda address: address not in holders)
         others.sort(key=lambda address: address != account.last_lender)
-        return others[:ASK_LIMIT]
+        return others[:MAX_ASKED]
 
     async def _ask(self, account, address, tokens):
-        """Ask for a loan; return what came of it as an Asked."""
+        """Ask a peer for a loan; return the LoanResult."""
         message = LendAsk(new_id(), account.name, tokens, self._incarnation)
         try:
             answer = await self._peers.call(address, message, ASK_TIMEOUT)
         except PeerError:
             account.loan_unanswered = True
             self._members.suspect_address(address)
-            # Its answer may have been lost: ask on for the same loan.
+            # Its answer may have been lost, so retry the same loan.
             self._tasks.spawn(self._retry(account, address, message))
             return LoanResult.UNANSWERED
         account.loan_unanswered = False
@@ -142,8 +143,8 @@
         return LoanResult.AVAILABLE
 
     async def _retry(self, account, address, message):
-        last_try_at = self._clock.steady() + RETRY_SECONDS
-        while self._clock.steady() < last_try_at:
+        last_attempt_at = self._clock.steady() + RETRY_SECONDS
+        while self._clock.steady() < last_attempt_at:
             try:
                 answer = await self._peers.call(
                     address, message, RETRY_TIMEOUT
@@ -172,10 +173,10 @@
         )
         self._keeper.credit(account.name, answer.tokens)
 
-    # Answering
+    # Lending
 
     def handle(self, message):
-        """Answer a LendAsk of a peer."""
+        """Answer a peer's LendAsk."""
         return self._replies.handle_once(message.ask, self._lend, message)
 
     def _lend(self, message):
--- a/rowanport/prepaid/notifier.py
+++ b/rowanport/prepaid/notifier.py
@@ -1,8 +1,9 @@
-"""News of budgets' records between the routers that draw on them.
+"""Announces new versions of budget records to the routers that draw on them.
 
-A draw is written on condition that the record is the one last seen.  Without
-news nearly each first try was refused, as others had drawn meanwhile: 139
-draws of 23 routers took 347 calls of the store in 68 s.
+A draw is written on condition that the record has not changed since it was
+last seen.  Without these updates nearly each first attempt was refused, as
+another router had drawn meanwhile: 139 draws of 23 routers took 347 store
+calls in 68 s.
 """
 
 import structlog
@@ -13,12 +14,12 @@
 
 LOG = structlog.get_logger(__name__)
 
-# Seconds for an answer, of which nothing depends.
+# Seconds for an answer, which is not needed.
 NOTIFY_TIMEOUT = 0.5
 
 
 class RecordNotifier:
-    """Tells peers of the records that this router wrote.
+    """Sends peers the budget records that this router wrote.
 
     :param address: this router's peer address
     :param peers: a PeerClient
@@ -30,10 +31,11 @@
         self._tasks = TaskSet()
 
     def notify(self, addresses, name, value):
-        """Tell some peers what a budget's record says now.
+        """Send peers a budget's new record.
 
-        :param addresses: their peer addresses; the own one is passed over
-        :param value: the Value as it stands in the store
+        :param addresses: their peer addresses; this router's own is skipped
+        :param name: the budget
+        :param value: the Value in the store
         """
         message = BudgetNews(name, value.version, value.data)
         for address in addresses:
@@ -44,5 +46,5 @@
         try:
             await self._peers.call(address, message, NOTIFY_TIMEOUT)
         except PeerError as error:
-            # Its next draw costs one more call.
+            # The peer's next draw costs one more store call.
             LOG.debug("budget_news_lost", peer=address, error=str(error))
--- a/rowanport/prepaid/reply_cache.py
+++ b/rowanport/prepaid/reply_cache.py
@@ -1,37 +1,37 @@
-"""Answers that are remembered, so that a repeated message acts once."""
+"""Remembers replies, so that a repeated message takes effect only once."""
 
 
 class ReplyCache:
-    """What a router answered lately.
+    """A router's recent replies by key.
 
     :param clock: a Clock
-    :param seconds: how long an answer is remembered; whoever repeats a
-        message must have ended by then
+    :param seconds: how long a reply is remembered; senders must stop repeating
+        a message before that
     """
 
     def __init__(self, clock, seconds):
         self._clock = clock
         self._seconds = seconds
-        self._known = {}
+        self._replies = {}
 
     def handle_once(self, key, handler, message):
-        """Act on a message once, and give the same answer to repeats.
+        """Handle a message once, and return the same reply for repeats.
 
-        :param key: what all repeats have in common
-        :param handler: function from the message to its answer
+        :param key: identifies the message and its repeats
+        :param handler: function that returns the reply to a message
         """
         now = self._clock.steady()
-        self._forget(now)
-        known = self._known.get(key)
-        if known is not None:
-            return known[0]
-        answer = handler(message)
-        self._known[key] = (answer, now + self._seconds)
-        return answer
+        self._expire(now)
+        cached = self._replies.get(key)
+        if cached is not None:
+            return cached[0]
+        reply = handler(message)
+        self._replies[key] = (reply, now + self._seconds)
+        return reply
 
-    def _forget(self, now):
-        while self._known:
-            oldest = next(iter(self._known))
-            if self._known[oldest][1] > now:
+    def _expire(self, now):
+        while self._replies:
+            oldest = next(iter(self._replies))
+            if self._replies[oldest][1] > now:
                 return
-            del self._known[oldest]
+            del self._replies[oldest]
