--- a/rowanport/prepaid/lender.py
+++ b/rowanport/prepaid/loans.py
@@ -14,38 +14,38 @@
 from ..schema.messages import Lent
 from ..schema.messages import NoLoan
 from ..tasks import TaskSet
-from .answers import Answers
+from .reply_cache import ReplyCache
 
 LOG = structlog.get_logger(__name__)
 
-# Longest wait for a peer's loan in seconds: a few round trips between data
-# centres.
+# Seconds for the first attempt of a loan request: a few round trips between
+# data centres.
 ASK_TIMEOUT = 0.1
-# Seconds for each later try of an ask, between two of them, and after which
-# none follows: a connection that turned silent is replaced within a second,
-# and what was lent without an answer is lost for good.
-COLLECT_TIMEOUT = 0.4
-COLLECT_PAUSE = 0.1
-COLLECT_SECONDS = 3.0
+# Seconds for each later attempt of a request, between two attempts, and after
+# which none follows.  A stalled connection is replaced within a second, and
+# tokens lent without an answer are lost for good.
+RETRY_TIMEOUT = 0.4
+RETRY_PAUSE = 0.1
+RETRY_SECONDS = 3.0
 # Peers asked at once; each lends half of what it has.
 ASK_FANOUT = 3
-# Peers asked in all.
-ASK_LIMIT = 16
-# Seconds for which answers to asks are remembered.
-ANSWER_MEMORY = 30.0
+# Maximum peers asked for one loan.
+MAX_ASKED = 16
+# Seconds for which a lender remembers its replies.
+REPLY_MEMORY = 30.0
 
 
-class Asked(enum.IntEnum):
-    """What came of asking peers; of several answers the highest counts."""
+class LoanResult(enum.IntEnum):
+    """Outcome of asking peers; of several the highest counts."""
 
     UNANSWERED = 0
-    NOTHING = 1
-    # Some tokens, or the word of one that has none but draws them now.
-    MORE = 2
+    NOT_AVAILABLE = 1
+    # A peer lent some, or has none but is drawing them now.
+    AVAILABLE = 2
 
 
-class Lender:
-    """Asks peers for tokens and answers theirs.
+class Loans:
+    """Borrows tokens from peers and lends to them.
 
     :param keeper: the BudgetKeeper, for its accounts
     :param incarnation: this router's incarnation
@@ -60,52 +60,53 @@
         self._peers = peers
         self._members = members
         self._clock = clock
-        self._answers = Answers(clock, ANSWER_MEMORY)
+        self._replies = ReplyCache(clock, REPLY_MEMORY)
         self._tasks = TaskSet()
 
-    # Asking
+    # Borrowing
 
     async def ask_holders(self, account):
-        """Ask those that draw in turn until an account has what it needs.
+        """Ask the budget's holders in turn until an account has enough.
 
-        :returns: the best answer as an Asked
+        :returns: the best LoanResult
         """
         holders = self._keeper.holders(account.name)
-        others = self._lenders(account)
+        others = self._candidates(account)
         return await self._ask_each(
             account, [address for address in others if address in holders]
         )
 
     async def ask_all(self, account):
-        """Ask peers in turn until an account has what it needs."""
-        await self._ask_each(account, self._lenders(account))
+        """Ask peers in turn until an account has enough."""
+        await self._ask_each(account, self._candidates(account))
 
     async def _ask_each(self, account, others):
-        """Ask peers at some addresses; return the best answer as an Asked."""
-        # What several lend at once is too much for a router that draws none:
-        # it is lost if the router ends.
+        """Ask peers by address; return the best LoanResult."""
+        # A router that does not draw asks one peer first: several would lend
+        # more than it needs, and that is lost if the router ends.
         draws = self._keeper.is_holder(account.name)
         count = ASK_FANOUT if draws else 1
-        best = Asked.UNANSWERED
+        best = LoanResult.UNANSWERED
         while others:
-            room = self._keeper.room(account)
-            tokens = account.loan(room, self._clock.steady())
+            headroom = self._keeper.headroom(account)
+            tokens = account.loan_size(headroom, self._clock.steady())
             if not tokens:
                 break
-            wave, others = others[:count], others[count:]
+            group, others = others[:count], others[count:]
             if not draws:
-                tokens = math.ceil(tokens / len(wave))
-            asks = (self._ask(account, address, tokens) for address in wave)
+                tokens = math.ceil(tokens / len(group))
+            asks = (self._ask(account, address, tokens) for address in group)
             best = max(best, *await asyncio.gather(*asks))
             count = ASK_FANOUT
         return best
 
-    def _lenders(self, account):
-        """Return the addresses of other live routers, those that draw first.
+    def _candidates(self, account):
+        """Return the addresses of the peers to ask, in order.
 
-        One that just started has not heard of all that draw, but of where
-        they are.  Before all comes the one that lent some: near the end of a
-        budget a single one may have what is left.
+        The last lender comes first, as near the end of a budget a single
+        router may have all that is left; then holders, then other live
+        routers.  Holders that are known by address only are included, as a
+        router that just started has not heard from all of them.
         """
         own = address_of(self._incarnation)
         others = [address_of(peer) for peer in self._members.live_peers()]
@@ -113,42 +114,46 @@
         others += filter(self._members.is_presumed_live, holders)
         random.shuffle(others)
         others.sort(key=lambda address: address not in holders)
-        others.sort(key=lambda address: address != account.lender)
-        return others[:ASK_LIMIT]
+        others.sort(key=lambda address: address != account.last_lender)
+        return others[:MAX_ASKED]
 
     async def _ask(self, account, address, tokens):
-        """Ask for a loan; return what came of it as an Asked."""
+        """Ask a peer for a loan; return the LoanResult."""
         message = LendAsk(new_id(), account.name, tokens, self._incarnation)
         try:
             answer = await self._peers.call(address, message, ASK_TIMEOUT)
         except PeerError:
-            account.unanswered = True
+            account.loan_unanswered = True
             self._members.suspect_address(address)
-            # Its answer may have been lost: ask on for the same loan.
-            self._tasks.spawn(self._collect(account, address, message))
-            return Asked.UNANSWERED
-        account.unanswered = False
+            # Its answer may have been lost, so retry the same loan.
+            self._tasks.spawn(self._retry(account, address, message))
+            return LoanResult.UNANSWERED
+        account.loan_unanswered = False
         if isinstance(answer, NoLoan):
-            self._keeper.hear_spent(answer.budget, answer.spent)
-            return Asked.MORE if answer.draws else Asked.NOTHING
+            self._keeper.merge_spent(answer.budget, answer.spent)
+            return (
+                LoanResult.AVAILABLE
+                if answer.draws
+                else LoanResult.NOT_AVAILABLE
+            )
         if not isinstance(answer, Lent):
-            return Asked.NOTHING
-        account.lender = address
-        self._take_loan(account, answer, address)
-        return Asked.MORE
-
-    async def _collect(self, account, address, message):
-        last_try_at = self._clock.steady() + COLLECT_SECONDS
-        while self._clock.steady() < last_try_at:
+            return LoanResult.NOT_AVAILABLE
+        account.last_lender = address
+        self._credit_loan(account, answer, address)
+        return LoanResult.AVAILABLE
+
+    async def _retry(self, account, address, message):
+        last_attempt_at = self._clock.steady() + RETRY_SECONDS
+        while self._clock.steady() < last_attempt_at:
             try:
                 answer = await self._peers.call(
-                    address, message, COLLECT_TIMEOUT
+                    address, message, RETRY_TIMEOUT
                 )
             except PeerError as error:
                 failure = error
-                await asyncio.sleep(COLLECT_PAUSE)
+                await asyncio.sleep(RETRY_PAUSE)
                 continue
-            self._take_loan(account, answer, address)
+            self._credit_loan(account, answer, address)
             return
         LOG.info(
             "loan_unanswered",
@@ -157,7 +162,7 @@
             error=str(failure),
         )
 
-    def _take_loan(self, account, answer, address):
+    def _credit_loan(self, account, answer, address):
         if not isinstance(answer, Lent):
             return
         LOG.info(
@@ -168,11 +173,11 @@
         )
         self._keeper.credit(account.name, answer.tokens)
 
-    # Answering
+    # Lending
 
     def handle(self, message):
-        """Answer a LendAsk of a peer."""
-        return self._answers.once(message.ask, self._lend, message)
+        """Answer a peer's LendAsk."""
+        return self._replies.handle_once(message.ask, self._lend, message)
 
     def _lend(self, message):
         tokens = self._keeper.lend(
