--- a/bench/engines/fleet.py
+++ b/bench/engines/fleet.py
@@ -13,7 +13,7 @@
 from rowanport.gateway.followers import followers
 from rowanport.gateway.job import Job
 from rowanport.gateway.job import Tokens
-from rowanport.gateway.loads import LoadNotes
+from rowanport.gateway.load_sync import LoadSync
 from rowanport.gateway.pool import UpstreamPool
 from rowanport.gateway.prefixes import PrefixMap
 from rowanport.gateway.upstream import Upstream
@@ -143,11 +143,11 @@
         self.pool.update(fleet.records)
         prefixes = PrefixMap()
         self.choice = PrefixChoice(self._data_centre, prefixes)
-        self.notes = LoadNotes(
+        self.notes = LoadSync(
             self.pool, prefixes, self, self, str(self.name), fleet.timeline
         )
 
-    # What LoadNotes asks of members and peers
+    # What LoadSync asks of members and peers
 
     def ready_others(self):
         """Return the incarnations of the other routers."""
@@ -165,7 +165,7 @@
         at = self._fleet.timeline.now + TRIP
         for address in list(addresses):
             other = self._fleet.routers[int(address)]
-            hear = other.notes.hear
+            hear = other.notes.receive
             self._fleet.timeline.schedule(at, lambda _now, f=hear: f(note))
 
     def ask(self, now):
@@ -173,12 +173,12 @@
         timeline = self._fleet.timeline
         if now < self._fleet.ends_at:
             timeline.schedule(now + ASK_INTERVAL, self.ask)
-        seconds = self.notes.begin_asking()
+        seconds = self.notes.advance_poll_window()
         if seconds:
             address = self._fleet.draw_one(followers(self))
             answering = self._fleet.routers[int(address)].notes
-            for note in answering.heard(seconds, str(self.name)):
-                self.notes.take(note)
+            for note in answering.recent(seconds, str(self.name)):
+                self.notes.apply(note)
 
 
 class Fleet:
@@ -292,7 +292,7 @@
         job = request.job
         state = router.choice.choose(candidates, job, now)
         unread = router.choice.unread(state, job, now)
-        ahead = router.notes.note_send(state, job.prefix, unread)
+        ahead = router.notes.record_send(state, job.prefix, unread)
         state.outstanding += 1
         run = Run(
             parts,
--- a/rowanport/gateway/daemon.py
+++ b/rowanport/gateway/daemon.py
@@ -35,7 +35,7 @@
 from .health import HealthFront
 from .job import Admission
 from .limits import RateLimits
-from .loads import LoadNotes
+from .load_sync import LoadSync
 from .metrics import GatewayMetrics
 from .pool import UpstreamPool
 from .prefixes import PrefixMap
@@ -190,7 +190,7 @@
         self._prefixes = prefixes = PrefixMap()
         self._prefix_choice = PrefixChoice(settings.data_centre, prefixes)
         self._nearest_choice = NearestChoice(settings.data_centre)
-        self.loads = self._views.loads = LoadNotes(
+        self.loads = self._views.loads = LoadSync(
             self.pool,
             prefixes,
             self._peers,
@@ -283,7 +283,7 @@
             messages.Gossip: self.members.receive,
             messages.ViewAsk: self._views.handle,
             messages.UpstreamNews: self._views.hear_news,
-            messages.LoadNote: self.loads.hear,
+            messages.LoadNote: self.loads.receive,
             messages.SuspectNews: self.crashes.news.hear,
             messages.SuspectRun: self.crashes.news.hear_run,
             messages.LimitNews: self.limits.hear_news,
--- a/rowanport/gateway/digest.py
+++ b/rowanport/gateway/load_history.py
@@ -6,10 +6,10 @@
 KEEP_SECONDS = 1.0
 # Notes in one answer, the largest prompts first: at four answers a second
 # 1.9 KB/s of the 5 KB/s that control may cost a router that asks.
-DIGEST_LIMIT = 16
+ANSWER_LIMIT = 16
 
 
-class LoadDigest:
+class LoadHistory:
     """Keeps LoadNotes for a while.
 
     :param clock: a Clock
@@ -26,7 +26,7 @@
         while self._notes[0][0] < now - KEEP_SECONDS:
             self._notes.popleft()
 
-    def since(self, seconds, asker):
+    def recent(self, seconds, asker):
         """Return the notes of some last seconds, without an asker's own."""
         if seconds <= 0:
             return []
@@ -37,4 +37,4 @@
             if heard > begin and note.sender != asker
         ]
         notes.sort(key=lambda note: -note.tokens)
-        return notes[:DIGEST_LIMIT]
+        return notes[:ANSWER_LIMIT]
--- a/rowanport/gateway/loads.py
+++ b/rowanport/gateway/load_sync.py
@@ -15,25 +15,25 @@
 from ..incarnation import address_of
 from ..rates import DecayingRate
 from ..schema.messages import LoadNote
-from .digest import LoadDigest
 from .followers import DIRECT_FLEET
 from .followers import followers
+from .load_history import LoadHistory
 
 # Prompt tokens below which a send is not told: they are read in 50 ms, one
 # twelfth of the shortest objective.
-NOTE_LEAST = 2000
+MIN_ANNOUNCED_TOKENS = 2000
 # Notes that a router sends a second, and with that hears: all peers are told
 # in the fleets of today, a sample in larger ones.  At 33 bytes a note this is
 # half of the 5 KB/s that control may cost.
-NOTES_A_SECOND = 75
+ANNOUNCEMENTS_PER_SECOND = 75
 # Peers that are told at least.
-LEAST_FANOUT = 8
+MIN_FANOUT = 8
 # Half life in seconds of the rate of sends by which the sample is sized.
 RATE_HALF_LIFE = 5.0
 RATE_LEAST_AGE = 2.0
 
 
-class LoadNotes:
+class LoadSync:
     """Keeps backlogs and cached prompts by what this router and peers send.
 
     :param pool: the UpstreamPool
@@ -51,11 +51,11 @@
         self._members = members
         self._clock = clock
         self._address = address
-        self._digest = LoadDigest(clock)
+        self._history = LoadHistory(clock)
         self._asked_at = clock.steady()
         self._rate = DecayingRate(RATE_HALF_LIFE, RATE_LEAST_AGE)
 
-    def note_send(self, state, prefix, unread):
+    def record_send(self, state, prefix, unread):
         """Count a send of this router and tell peers of it.
 
         :param state: the UpstreamState that it goes to
@@ -64,10 +64,10 @@
         :returns: prompt tokens that the engine has to read with it
         """
         now = self._clock.steady()
-        if unread >= NOTE_LEAST:
+        if unread >= MIN_ANNOUNCED_TOKENS:
             note = LoadNote(state.record.id, prefix, unread, self._address)
             self._peers.tell(self._listeners(now), note)
-            self._digest.add(note)
+            self._history.add(note)
         self._prefixes.note(prefix, state.record.id, now)
         return state.backlog.add(unread, now)
 
@@ -87,9 +87,11 @@
     def _fanout(self, now):
         """Count a note that is about to be sent; return to how many peers."""
         self._rate.add(1, now)
-        return max(LEAST_FANOUT, int(NOTES_A_SECOND / self._rate.rate(now)))
+        return max(
+            MIN_FANOUT, int(ANNOUNCEMENTS_PER_SECOND / self._rate.rate(now))
+        )
 
-    def begin_asking(self):
+    def advance_poll_window(self):
         """Return for which last seconds to ask for notes, 0 for none.
 
         The next question begins where this one ends: what is lost with its
@@ -102,16 +104,16 @@
             return 0.0
         return seconds
 
-    def heard(self, seconds, asker):
+    def recent(self, seconds, asker):
         """Return the notes heard in some last seconds, not the asker's."""
-        return self._digest.since(seconds, asker)
+        return self._history.recent(seconds, asker)
 
-    def hear(self, note):
+    def receive(self, note):
         """Take in a LoadNote of its sender, and keep it for others."""
-        self._digest.add(note)
-        self.take(note)
+        self._history.add(note)
+        self.apply(note)
 
-    def take(self, note):
+    def apply(self, note):
         """Take in a LoadNote."""
         now = self._clock.steady()
         self._prefixes.note(note.prefix, note.upstream, now)
--- a/rowanport/gateway/sending.py
+++ b/rowanport/gateway/sending.py
@@ -225,7 +225,7 @@
         if job.tokens is None:
             return 0
         unread = gateway.unread(state, job, self._clock.steady())
-        return gateway.loads.note_send(state, job.prefix, unread)
+        return gateway.loads.record_send(state, job.prefix, unread)
 
     def _relay(self, answer):
         """Return the Relay of an HttpAnswer."""
--- a/rowanport/gateway/views.py
+++ b/rowanport/gateway/views.py
@@ -63,7 +63,7 @@
         None
     :ivar tell: function of a peer's address and a message that sends the
         message on a connection that the peer has open
-    :ivar loads: the LoadNotes that ask and answer along with it, or None
+    :ivar loads: the LoadSync that asks and answers along with it, or None
     :ivar crashes: the CrashNews that do, too, or None
     :ivar limits: the RateLimits that do, too, or None
     """
@@ -210,7 +210,7 @@
         )
         if self.loads is not None:
             seconds = message.recent / 1000
-            give.notes = self.loads.heard(seconds, message.asker)
+            give.notes = self.loads.recent(seconds, message.asker)
         if self.crashes is not None:
             give.suspects = self.crashes.answer_news(message.suspects)
         if self.limits is not None:
@@ -324,7 +324,7 @@
         :param timeout: longest wait in seconds
         """
         has = NO_LIST if self._list_wanted else self.upstreams.version
-        seconds = self.loads.begin_asking() if self.loads else 0.0
+        seconds = self.loads.advance_poll_window() if self.loads else 0.0
         ask = ViewAsk(
             self._version,
             has[0],
@@ -356,7 +356,7 @@
         self._congestion.note_round_trip(self._peers.last_trip(address))
         self._clocks.hear(address, give.wall)
         for note in give.notes:
-            self.loads.take(note)
+            self.loads.apply(note)
         if self.crashes is not None:
             self.crashes.take_answer(give.suspects)
         if self.limits is not None:
--- a/test/test_choice.py
+++ b/test/test_choice.py
@@ -12,9 +12,9 @@
 from rowanport.gateway.choice import PrefixChoice
 from rowanport.gateway.job import Job
 from rowanport.gateway.job import Tokens
-from rowanport.gateway.loads import LoadNotes
-from rowanport.gateway.loads import NOTE_LEAST
-from rowanport.gateway.loads import NOTES_A_SECOND
+from rowanport.gateway.load_sync import ANNOUNCEMENTS_PER_SECOND
+from rowanport.gateway.load_sync import LoadSync
+from rowanport.gateway.load_sync import MIN_ANNOUNCED_TOKENS
 from rowanport.gateway.pool import UpstreamPool
 from rowanport.gateway.prefixes import KEEP_SECONDS
 from rowanport.gateway.prefixes import PrefixMap
@@ -52,7 +52,7 @@
     def tell(self, addresses, note):
         for address in addresses:
             self.told.append(note)
-            self.routers[address].notes.hear(note)
+            self.routers[address].notes.receive(note)
 
 
 class FakeMembers:
@@ -86,7 +86,7 @@
         )
         self.prefixes = PrefixMap()
         self.choice = PrefixChoice("hall-0", self.prefixes)
-        self.notes = LoadNotes(
+        self.notes = LoadSync(
             self.pool,
             self.prefixes,
             peers,
@@ -102,7 +102,7 @@
         candidates = self.pool.candidates(SERVICE, (), now)
         state = self.choice.choose(candidates, job, now)
         unread = self.choice.unread(state, job, now)
-        self.notes.note_send(state, job.prefix, unread)
+        self.notes.record_send(state, job.prefix, unread)
         return state.record.id
 
 
@@ -335,10 +335,10 @@
     peers = FakePeers()
     peers.routers["r2"] = FakeRouter(clock, peers, "other")
     router = FakeRouter(clock, peers, "one", ["x/r2/1"])
-    router.send(make_job(shared=0, own=NOTE_LEAST - 1))
+    router.send(make_job(shared=0, own=MIN_ANNOUNCED_TOKENS - 1))
     assert not peers.told
-    router.send(make_job(shared=0, own=NOTE_LEAST))
-    assert [note.tokens for note in peers.told] == [NOTE_LEAST]
+    router.send(make_job(shared=0, own=MIN_ANNOUNCED_TOKENS))
+    assert [note.tokens for note in peers.told] == [MIN_ANNOUNCED_TOKENS]
 
 
 def test_notes_of_a_busy_router_reach_a_sample(clock):
@@ -350,13 +350,15 @@
     router = FakeRouter(clock, peers, "one", others)
     for _number in range(100):
         clock.now += 0.1
-        router.send(make_job(shared=0, own=NOTE_LEAST))
+        router.send(make_job(shared=0, own=MIN_ANNOUNCED_TOKENS))
     told = len(peers.told) / (100 * 0.1)
-    assert 0.8 * NOTES_A_SECOND < told < 1.6 * NOTES_A_SECOND
+    assert (
+        0.8 * ANNOUNCEMENTS_PER_SECOND < told < 1.6 * ANNOUNCEMENTS_PER_SECOND
+    )
 
 
 def test_a_note_of_an_upstream_that_is_not_listed_changes_nothing(router):
-    router.notes.take(LoadNote("gone", 1, 5000, "peer"))
+    router.notes.apply(LoadNote("gone", 1, 5000, "peer"))
     assert all(
         router.pool.get(name).backlog.tokens(100.0) == 0 for name in ENGINES
     )
--- a/test/test_engine_load.py
+++ b/test/test_engine_load.py
@@ -12,7 +12,7 @@
 from bench.engines.load import SHORT
 from rowanport.gateway.backlog import Backlog
 from rowanport.gateway.choice import PrefixChoice
-from rowanport.gateway.loads import LoadNotes
+from rowanport.gateway.load_sync import LoadSync
 from rowanport.scheduling import Overload
 from rowanport.scheduling.overload import LESS_URGENT_SHARE
 from rowanport.scheduling.overload import RANK_SECONDS
@@ -163,5 +163,7 @@
 def test_a_large_fleet_serves_more_where_routers_hear_of_long_prompts(pattern):
     # 195 routers before 39 engines: each sees one prompt in two hundred, and
     # without news they meet at the same engines.
-    without = play_without(pattern, LoadNotes, "begin_asking", hear_nothing)
+    without = play_without(
+        pattern, LoadSync, "advance_poll_window", hear_nothing
+    )
     assert credit(play(pattern)) > credit(without) + 0.01
--- a/test/test_load_digest.py
+++ b/test/test_load_digest.py
@@ -11,9 +11,9 @@
 
 import pytest
 
-from rowanport.gateway.digest import DIGEST_LIMIT
 from rowanport.gateway.followers import followers
-from rowanport.gateway.loads import NOTE_LEAST
+from rowanport.gateway.load_history import ANSWER_LIMIT
+from rowanport.gateway.load_sync import MIN_ANNOUNCED_TOKENS
 from rowanport.schema.messages import LoadNote
 
 SIZE = 100
@@ -44,7 +44,7 @@
 
 
 def send(router):
-    return router.send(make_job(shared=0, own=NOTE_LEAST))
+    return router.send(make_job(shared=0, own=MIN_ANNOUNCED_TOKENS))
 
 
 def test_a_router_that_asks_hears_what_others_sent(clock):
@@ -55,9 +55,9 @@
     engine = send(fleet.routers[sender])
     assert fleet.backlog(asker, engine) == 0
     follower = fleet.routers[fleet.leading[0]]
-    for note in follower.notes.heard(0.25, asker):
-        fleet.routers[asker].notes.take(note)
-    assert fleet.backlog(asker, engine) == NOTE_LEAST
+    for note in follower.notes.recent(0.25, asker):
+        fleet.routers[asker].notes.apply(note)
+    assert fleet.backlog(asker, engine) == MIN_ANNOUNCED_TOKENS
 
 
 def test_a_router_hears_nothing_of_its_own_sends_nor_twice(clock):
@@ -65,33 +65,38 @@
     sender, asker = fleet.others[:2]
     send(fleet.routers[sender])
     follower = fleet.routers[fleet.leading[0]]
-    assert not follower.notes.heard(0.25, sender)
+    assert not follower.notes.recent(0.25, sender)
     asks = fleet.routers[asker].notes
     clock.now += 0.25
-    assert 0 < asks.begin_asking() <= 0.25
+    assert 0 < asks.advance_poll_window() <= 0.25
     clock.now += 0.25
-    assert not follower.notes.heard(asks.begin_asking(), asker)
+    assert not follower.notes.recent(asks.advance_poll_window(), asker)
 
 
 def test_those_that_hear_all_at_once_do_not_ask(clock):
     fleet = LargeFleet(clock)
     small = FakeRouter(clock, fleet.peers, "alone", ["x/r1/1"])
     clock.now += 0.25
-    assert fleet.routers[fleet.leading[0]].notes.begin_asking() == 0
-    assert small.notes.begin_asking() == 0
+    assert fleet.routers[fleet.leading[0]].notes.advance_poll_window() == 0
+    assert small.notes.advance_poll_window() == 0
 
 
 def test_an_answer_is_bounded_and_names_the_largest_prompts(clock):
     fleet = LargeFleet(clock)
     follower = fleet.routers[fleet.leading[0]].notes
-    for number in range(5 * DIGEST_LIMIT):
-        follower.hear(LoadNote("e1", number, NOTE_LEAST + number, "r"))
-    notes = follower.heard(0.25, "asker")
-    assert len(notes) == DIGEST_LIMIT
-    assert min(note.tokens for note in notes) >= NOTE_LEAST + 4 * DIGEST_LIMIT
+    for number in range(5 * ANSWER_LIMIT):
+        follower.receive(
+            LoadNote("e1", number, MIN_ANNOUNCED_TOKENS + number, "r")
+        )
+    notes = follower.recent(0.25, "asker")
+    assert len(notes) == ANSWER_LIMIT
+    assert (
+        min(note.tokens for note in notes)
+        >= MIN_ANNOUNCED_TOKENS + 4 * ANSWER_LIMIT
+    )
     clock.now += 5.0
-    follower.hear(LoadNote("e1", 1, NOTE_LEAST, "r"))
-    assert len(follower.heard(10.0, "asker")) == 1
+    follower.receive(LoadNote("e1", 1, MIN_ANNOUNCED_TOKENS, "r"))
+    assert len(follower.recent(10.0, "asker")) == 1
 
 
 class Answerer:
