--- a/bench/engines/fleet.py
+++ b/bench/engines/fleet.py
@@ -327,7 +327,7 @@
         job = request.job
         if request.first is None:
             request.first = now + late - job.arrived
-            state.backlog.note_first_event(ahead, request.first, now)
+            state.backlog.record_first_event(ahead, request.first, now)
         job.note_events([_EVENT], now)
         request.pause = job.longest_pause
 
--- a/rowanport/gateway/backlog.py
+++ b/rowanport/gateway/backlog.py
@@ -4,8 +4,8 @@
 DEFAULT_RATE = 50000.0
 # Bounds of an engine's rate as multiples of the default: some are several
 # times slower, and a cached prompt seems to be read faster than any reads.
-LEAST_RATE = DEFAULT_RATE / 8
-MOST_RATE = DEFAULT_RATE * 1.5
+MIN_RATE = DEFAULT_RATE / 8
+MAX_RATE = DEFAULT_RATE * 1.5
 # Weight of a new measurement of the rate.
 SMOOTHING = 0.3
 # What an engine has to do besides is heard of late, if at all: short prompts,
@@ -14,12 +14,12 @@
 # after which what was seen counts half.  Requests are turned away by it, not
 # placed.  In a model with too few engines, what was earned of what was asked
 # for rose from .45 to .49 (eight seeds, standard error .02).
-LAG_WEIGHT = 0.5
+LAG_SMOOTHING = 0.5
 LAG_HALF_LIFE = 2.0
 # Seconds of a first event that are no lag: a step of an idle engine.
-USUAL_LAG = 0.1
+IDLE_STEP_SECONDS = 0.1
 # Smaller sends are no measure of the rate: a step of the engine takes longer.
-MEASURED_LEAST = 2000
+MIN_MEASURED_TOKENS = 2000
 
 
 class Backlog:
@@ -59,26 +59,26 @@
         self._at = now
         return self._tokens
 
-    def note_first_event(self, tokens, seconds, now):
+    def record_first_event(self, tokens, seconds, now):
         """Learn from a send whose first event came.
 
         :param tokens: what was to be read with it, as :meth:`add` returned
         :param seconds: from the send to its first event
         :param now: steady time
         """
-        late = max(0.0, seconds - tokens / self._rate - USUAL_LAG)
+        late = max(0.0, seconds - tokens / self._rate - IDLE_STEP_SECONDS)
         lag = self.lag(now)
-        self._lag = lag + LAG_WEIGHT * (late - lag)
+        self._lag = lag + LAG_SMOOTHING * (late - lag)
         self._lag_at = now
-        self.measure(tokens, seconds)
+        self.update_rate(tokens, seconds)
 
-    def measure(self, tokens, seconds):
+    def update_rate(self, tokens, seconds):
         """Learn the rate from a send whose first event came.
 
         :param tokens: what was to be read with it
         :param seconds: from the send to its first event
         """
-        if tokens < MEASURED_LEAST or seconds <= 0:
+        if tokens < MIN_MEASURED_TOKENS or seconds <= 0:
             return
-        rate = min(MOST_RATE, max(LEAST_RATE, tokens / seconds))
+        rate = min(MAX_RATE, max(MIN_RATE, tokens / seconds))
         self._rate += SMOOTHING * (rate - self._rate)
--- a/rowanport/gateway/sending.py
+++ b/rowanport/gateway/sending.py
@@ -201,7 +201,7 @@
         )
         if is_stream(answer):
             now = self._clock.steady()
-            state.backlog.note_first_event(ahead, now - sent_at, now)
+            state.backlog.record_first_event(ahead, now - sent_at, now)
         return answer
 
     def _check_last(self, state):
--- a/test/test_choice.py
+++ b/test/test_choice.py
@@ -152,15 +152,15 @@
 def test_an_engine_that_was_slow_is_taken_for_slow():
     pending = Backlog()
     for _send in range(20):
-        pending.measure(10000, 10000 / (DEFAULT_RATE / 4))
+        pending.update_rate(10000, 10000 / (DEFAULT_RATE / 4))
     assert pending.rate == pytest.approx(DEFAULT_RATE / 4, rel=0.01)
     # A small prompt says nothing of the rate, nor does one that was cached.
-    pending.measure(backlog.MEASURED_LEAST - 1, 9.0)
-    pending.measure(10000, 0.0)
+    pending.update_rate(backlog.MIN_MEASURED_TOKENS - 1, 9.0)
+    pending.update_rate(10000, 0.0)
     assert pending.rate == pytest.approx(DEFAULT_RATE / 4, rel=0.01)
     for _send in range(40):
-        pending.measure(10000, 0.001)
-    assert pending.rate <= backlog.MOST_RATE
+        pending.update_rate(10000, 0.001)
+    assert pending.rate <= backlog.MAX_RATE
 
 
 # Choice
--- a/test/test_engine_load.py
+++ b/test/test_engine_load.py
@@ -148,10 +148,10 @@
 def test_lag_fades_and_follows_first_events():
     backlog = Backlog()
     for _send in range(20):
-        backlog.note_first_event(100, 1.1, 10.0)
+        backlog.record_first_event(100, 1.1, 10.0)
     assert backlog.lag(10.0) == pytest.approx(1.0, abs=0.01)
     assert backlog.lag(12.0) == pytest.approx(0.5, abs=0.01)
-    backlog.note_first_event(100, 0.05, 12.0)
+    backlog.record_first_event(100, 0.05, 12.0)
     assert backlog.lag(12.0) < 0.3
 
 
