--- a/bench/engines/fleet.py
+++ b/bench/engines/fleet.py
@@ -291,7 +291,7 @@
     def _send(self, router, candidates, request, parts, answer, now):
         job = request.job
         state = router.choice.choose(candidates, job, now)
-        unread = router.choice.unread(state, job, now)
+        unread = router.choice.uncached_tokens(state, job, now)
         ahead = router.notes.record_send(state, job.prefix, unread)
         state.outstanding += 1
         run = Run(
--- a/rowanport/gateway/choice.py
+++ b/rowanport/gateway/choice.py
@@ -26,7 +26,7 @@
 SHARED_LEAST = 1000
 # Levels of how unevenly streams come that are told apart; a better level
 # outweighs the bytes between data centres.
-UNEVEN_LEVELS = 4
+PAUSE_LEVELS = 4
 # Streams that this router may have at an engine against the mean of those
 # that it could be sent to; beyond it the next one in order is taken (bounded
 # loads, Mirrokni et al., 2016).  Routers agree on the order, so that else one
@@ -81,13 +81,13 @@
             state = self._choose_short(candidates, job, now)
         else:
             state = self._choose_long(candidates, job, now)
-        state.pacing.follow(job, now)
+        state.pacing.track(job, now)
         return state
 
     def _choose_short(self, candidates, job, now):
         """Choose by load and pauses first, then by the data centre."""
         fit = self._less_loaded(self._in_time(candidates, job, now))
-        even = self._evenest(fit, now)
+        even = self._fewest_pauses(fit, now)
         fit = self._near(even) or even or candidates
         return self._soonest(fit, job, now)
 
@@ -97,20 +97,20 @@
         in_time = self._in_time(cached, job, now)
         if not in_time:
             in_time = self._in_time(candidates, job, now)
-        even = self._evenest(in_time, now)
+        even = self._fewest_pauses(in_time, now)
         # Where none is in time, reading a prompt again helps nobody.
         return self._soonest(even or cached or candidates, job, now)
 
-    def unread(self, state, job, now):
+    def uncached_tokens(self, state, job, now):
         """Return the prompt tokens that an engine has to read of a job."""
         if state.record.id in self._prefixes.engines(job.prefix, now):
             return job.tokens.prompt - job.shared
         return job.tokens.prompt
 
-    def _evenest(self, candidates, now):
+    def _fewest_pauses(self, candidates, now):
         """Return those whose streams lately came the most evenly."""
         levels = [
-            int(UNEVEN_LEVELS * state.pacing.uneven_share(now))
+            int(PAUSE_LEVELS * state.pacing.paused_share(now))
             for state in candidates
         ]
         least = min(levels, default=0)
@@ -141,7 +141,7 @@
         return [
             state
             for state in candidates
-            if state.wait(self.unread(state, job, now), now) <= limit
+            if state.wait(self.uncached_tokens(state, job, now), now) <= limit
         ]
 
     def _soonest(self, candidates, job, now):
@@ -152,7 +152,7 @@
 
         def weight(rank):
             state = by_id[order[rank]]
-            unread = self.unread(state, job, now)
+            unread = self.uncached_tokens(state, job, now)
             if rank == 0:
                 unread -= presumed
             return int(state.wait(unread, now) / ALIKE_SECONDS), rank
--- a/rowanport/gateway/daemon.py
+++ b/rowanport/gateway/daemon.py
@@ -241,7 +241,7 @@
 
     def unread(self, state, job, now):
         """Return the prompt tokens that an engine has to read of a job."""
-        return self._prefix_choice.unread(state, job, now)
+        return self._prefix_choice.uncached_tokens(state, job, now)
 
     def retries(self, service):
         """Return the RetryWindow of a service."""
--- a/rowanport/gateway/pool.py
+++ b/rowanport/gateway/pool.py
@@ -1,7 +1,7 @@
 """The upstreams as one router sees them, and which of them take work."""
 
 from .backlog import Backlog
-from .pacing import Pacing
+from .stream_pauses import StreamPauses
 
 # Failures in a row after which an upstream is left out, and for how long in
 # seconds; a failed connection counts as that many.
@@ -18,7 +18,7 @@
 
     :ivar outstanding: requests of this router that run there
     :ivar backlog: what it has still to read, a Backlog
-    :ivar pacing: how evenly its streams come, a Pacing
+    :ivar pacing: how evenly its streams come, a StreamPauses
     """
 
     __slots__ = (
@@ -35,7 +35,7 @@
         self.record = record
         self.outstanding = 0
         self.backlog = Backlog()
-        self.pacing = Pacing()
+        self.pacing = StreamPauses()
         self.failures = 0
         self.ejected_until = 0.0
         self.crashed_until = 0.0
--- a/test/test_choice.py
+++ b/test/test_choice.py
@@ -5,7 +5,7 @@
 import pytest
 
 from rowanport.gateway import backlog
-from rowanport.gateway import pacing
+from rowanport.gateway import stream_pauses
 from rowanport.gateway.backlog import Backlog
 from rowanport.gateway.backlog import DEFAULT_RATE
 from rowanport.gateway.choice import NearestChoice
@@ -101,7 +101,7 @@
         now = self.clock.now
         candidates = self.pool.candidates(SERVICE, (), now)
         state = self.choice.choose(candidates, job, now)
-        unread = self.choice.unread(state, job, now)
+        unread = self.choice.uncached_tokens(state, job, now)
         self.notes.record_send(state, job.prefix, unread)
         return state.record.id
 
@@ -238,7 +238,7 @@
     (other,) = {"e1", "e3"} - {slow}
     assert set(send_short(router, count=4)) == {other}
     # Sooner to another data centre than to one that pauses.
-    for _stream in range(pacing.STREAMS):
+    for _stream in range(stream_pauses.TRACKED_STREAMS):
         follow_pause(router, slow)
         follow_pause(router, other)
     assert not set(send_short(router, count=4)) & {slow, other}
@@ -258,7 +258,7 @@
 
 def test_a_pause_is_forgotten_after_a_while(clock, router):
     slow = send_short(router, pause=0.4)
-    clock.now += pacing.KEEP_SECONDS + 1
+    clock.now += stream_pauses.KEEP_SECONDS + 1
     assert send_short(router) == slow
 
 
@@ -279,7 +279,7 @@
 def follow_pause(router, engine):
     """Let a stream pause too long at an engine."""
     job = make_job(gap_objective=0.3)
-    router.pool.get(engine).pacing.follow(job, router.clock.now)
+    router.pool.get(engine).pacing.track(job, router.clock.now)
     job.longest_pause = 0.4
 
 
@@ -287,9 +287,9 @@
     job = make_job(gap_objective=0.3)
     job.events = 3
     job.longest_pause = 1.5
-    moved = pacing.Pacing()
-    moved.follow(job, 100.0)
-    assert moved.uneven_share(100.0) == 0
+    moved = stream_pauses.StreamPauses()
+    moved.track(job, 100.0)
+    assert moved.paused_share(100.0) == 0
 
 
 def test_plain_upstreams_are_chosen_by_what_runs_there(router):
--- a/test/test_engine_load.py
+++ b/test/test_engine_load.py
@@ -100,7 +100,7 @@
     # Two of six engines take 1.3 times as long, and pause 0.3 s with a long
     # prompt beside.
     without = play_without(
-        pattern, PrefixChoice, "_evenest", lambda _self, some, _now: some
+        pattern, PrefixChoice, "_fewest_pauses", lambda _self, some, _now: some
     )
     assert credit(play(pattern)) > credit(without)
 
