--- a/bench/engines/fleet.py
+++ b/bench/engines/fleet.py
@@ -15,7 +15,7 @@
 from rowanport.gateway.job import Tokens
 from rowanport.gateway.load_sync import LoadSync
 from rowanport.gateway.pool import UpstreamPool
-from rowanport.gateway.prefixes import PrefixMap
+from rowanport.gateway.prefix_map import PrefixMap
 from rowanport.gateway.upstream import Upstream
 from rowanport.gateway.views import ASK_INTERVAL
 from rowanport.hashing import hash_of
--- a/rowanport/gateway/choice.py
+++ b/rowanport/gateway/choice.py
@@ -103,7 +103,7 @@
 
     def uncached_tokens(self, state, job, now):
         """Return the prompt tokens that an engine has to read of a job."""
-        if state.record.id in self._prefixes.engines(job.prefix, now):
+        if state.record.id in self._prefixes.engines_with(job.prefix, now):
             return job.tokens.prompt - job.shared
         return job.tokens.prompt
 
@@ -133,7 +133,7 @@
         ]
 
     def _cached(self, candidates, job, now):
-        engines = self._prefixes.engines(job.prefix, now)
+        engines = self._prefixes.engines_with(job.prefix, now)
         return [state for state in candidates if state.record.id in engines]
 
     def _in_time(self, candidates, job, now):
@@ -161,7 +161,7 @@
 
     def _presumed(self, first, job, now):
         """Return the tokens that the first engine may have cached unheard."""
-        if self._prefixes.engines(job.prefix, now):
+        if self._prefixes.engines_with(job.prefix, now):
             return 0
         return int(PRESUMED_SHARE * job.shared)
 
--- a/rowanport/gateway/daemon.py
+++ b/rowanport/gateway/daemon.py
@@ -26,7 +26,7 @@
 from .blocklist import Blocklist
 from .choice import NearestChoice
 from .choice import PrefixChoice
-from .congestion import Congestion
+from .congestion import CongestionDetector
 from .crashes import CrashGuard
 from .exchange import Exchange
 from .fingerprint import Fingerprints
@@ -38,7 +38,7 @@
 from .load_sync import LoadSync
 from .metrics import GatewayMetrics
 from .pool import UpstreamPool
-from .prefixes import PrefixMap
+from .prefix_map import PrefixMap
 from .refusals import Refusals
 from .retries import RetryWindow
 from .settings import split_address
@@ -121,7 +121,7 @@
             lambda instances: None,
         )
         clocks = FleetClocks(self.clock)
-        self.congestion = Congestion(self.clock)
+        self.congestion = CongestionDetector(self.clock)
         self._views = Views(
             decode,
             self.members,
@@ -269,10 +269,10 @@
 
     def _take_upstreams(self, upstreams):
         for name in self.pool.update(upstreams.upstreams):
-            self._prefixes.forget(name)
+            self._prefixes.remove_engine(name)
             LOG.info("upstream_restarted", upstream=name)
         listed = upstreams.upstreams.values()
-        self.limits.keep({upstream.run.name for upstream in listed})
+        self.limits.retain({upstream.run.name for upstream in listed})
 
     # Peers
 
@@ -286,7 +286,7 @@
             messages.LoadNote: self.loads.receive,
             messages.SuspectNews: self.crashes.news.hear,
             messages.SuspectRun: self.crashes.news.hear_run,
-            messages.LimitNews: self.limits.hear_news,
+            messages.LimitNews: self.limits.receive,
             messages.PermitAsk: self.limits.grant,
         }
 
--- a/rowanport/gateway/exchange.py
+++ b/rowanport/gateway/exchange.py
@@ -77,7 +77,7 @@
         own = names.signature in answer.headers
         if own or names.not_executed in answer.headers:
             text = answer.headers.get(names.rate_limit)
-            self._limits.note_answer(upstream.run, text)
+            self._limits.record_answer(upstream.run, text)
 
     def _headers(self, job, upstream):
         names = self._dialect
--- a/rowanport/gateway/forwarder.py
+++ b/rowanport/gateway/forwarder.py
@@ -102,7 +102,7 @@
         self._crashes.check(job)
         gateway.views.standing.check()
         gateway.retries(job.service).note_request(now)
-        if gateway.congestion.refuses(job.request):
+        if gateway.congestion.should_refuse(job.request):
             raise RequestError(
                 ErrorKind.OVERLOADED, "the router's own link is congested"
             )
--- a/rowanport/gateway/limits.py
+++ b/rowanport/gateway/limits.py
@@ -58,7 +58,7 @@
 
     # What upstreams say
 
-    def note_answer(self, run, text):
+    def record_answer(self, run, text):
         """Take in what an upstream's answer says of its limit.
 
         :param run: the UpstreamRun
@@ -93,7 +93,7 @@
         )
         self._metrics.limited_upstreams.set({}, self._named.count)
 
-    def keep(self, names):
+    def retain(self, names):
         """Forget all upstreams but some.
 
         :param names: names of upstreams' runs
@@ -108,7 +108,7 @@
 
     # Where requests may go
 
-    def open(self, candidates, now):
+    def with_permits(self, candidates, now):
         """Return the UpstreamStates among some that may have a permit left.
 
         :raises RequestError: none has, with the time of the next permit
@@ -139,7 +139,7 @@
             return now
         return self._purse.open_at(state.record.run.name, now)
 
-    async def take(self, state):
+    async def acquire(self, state):
         """Take a permit to send to an upstream, if it takes one now.
 
         :returns: whether the request may be sent
@@ -215,11 +215,11 @@
         """Return LimitRows for a peer."""
         return self._named.some_rows(self._clock.steady())
 
-    def hear_news(self, news):
+    def receive(self, news):
         """Take in LimitNews."""
-        self.hear(news.rows, news.sender)
+        self.merge(news.rows, news.sender)
 
-    def hear(self, rows, peer):
+    def merge(self, rows, peer):
         """Take in LimitRows of a peer."""
         now = self._clock.steady()
         for row in rows:
--- a/rowanport/gateway/load_sync.py
+++ b/rowanport/gateway/load_sync.py
@@ -68,7 +68,7 @@
             note = LoadNote(state.record.id, prefix, unread, self._address)
             self._peers.tell(self._listeners(now), note)
             self._history.add(note)
-        self._prefixes.note(prefix, state.record.id, now)
+        self._prefixes.record(prefix, state.record.id, now)
         return state.backlog.add(unread, now)
 
     def _listeners(self, now):
@@ -116,7 +116,7 @@
     def apply(self, note):
         """Take in a LoadNote."""
         now = self._clock.steady()
-        self._prefixes.note(note.prefix, note.upstream, now)
+        self._prefixes.record(note.prefix, note.upstream, now)
         state = self._pool.get(note.upstream)
         if state is not None:
             state.backlog.add(note.tokens, now)
--- a/rowanport/gateway/prefixes.py
+++ b/rowanport/gateway/prefix_map.py
@@ -15,7 +15,7 @@
     def __init__(self):
         self._engines = collections.OrderedDict()
 
-    def note(self, prefix, engine, now):
+    def record(self, prefix, engine, now):
         """Note that an engine reads a shared prompt.
 
         :param prefix: hash of the shared prompt
@@ -27,12 +27,12 @@
         while len(self._engines) > PROMPT_LIMIT:
             self._engines.popitem(last=False)
 
-    def forget(self, engine):
+    def remove_engine(self, engine):
         """Forget an engine, which started again with an empty cache."""
         for engines in self._engines.values():
             engines.pop(engine, None)
 
-    def engines(self, prefix, now):
+    def engines_with(self, prefix, now):
         """Return the ids of the engines that should have it cached."""
         engines = self._engines.get(prefix, {})
         for engine, used_at in list(engines.items()):
--- a/rowanport/gateway/sending.py
+++ b/rowanport/gateway/sending.py
@@ -123,7 +123,7 @@
         await self._crashes.admit(self._job)
         while True:
             state = self._choose()
-            if await self._gateway.limits.take(state):
+            if await self._gateway.limits.acquire(state):
                 return self._begin(state)
 
     def _begin(self, state):
@@ -155,7 +155,7 @@
         """Return the candidates that surely take requests now."""
         try:
             self._gateway.views.standing.check()
-            return self._gateway.limits.open(candidates, now)
+            return self._gateway.limits.with_permits(candidates, now)
         except RequestError as error:
             if self._job.runs:
                 raise give_up(self._job, UpstreamError(error.detail))
--- a/rowanport/gateway/views.py
+++ b/rowanport/gateway/views.py
@@ -57,7 +57,7 @@
     :param address: this router's peer address
     :param clock: a Clock
     :param clocks: the FleetClocks, which learn from each exchange
-    :param congestion: the Congestion, which does, too
+    :param congestion: the CongestionDetector, which does, too
     :ivar standing: the ViewStanding, which tells how far they may be trusted
     :ivar on_answer: function that is called after each answer of a peer, or
         None
@@ -214,7 +214,7 @@
         if self.crashes is not None:
             give.suspects = self.crashes.answer_news(message.suspects)
         if self.limits is not None:
-            self.limits.hear(message.limits, message.asker)
+            self.limits.merge(message.limits, message.asker)
             give.limits = self.limits.rows()
         self._give_news(message, give)
         return give
@@ -343,7 +343,7 @@
             )
         except PeerError as error:
             LOG.debug("views_unread", peer=address, error=str(error))
-            self._congestion.note_unanswered(self._clock.steady() - asked_at)
+            self._congestion.record_timeout(self._clock.steady() - asked_at)
             return
         finally:
             self._asked[address] -= 1
@@ -353,14 +353,14 @@
             asked_at, give.store_age / 1000, give.steady / 10
         )
         # Without the time in which a silent connection was found out.
-        self._congestion.note_round_trip(self._peers.last_trip(address))
+        self._congestion.record_round_trip(self._peers.last_trip(address))
         self._clocks.hear(address, give.wall)
         for note in give.notes:
             self.loads.apply(note)
         if self.crashes is not None:
             self.crashes.take_answer(give.suspects)
         if self.limits is not None:
-            self.limits.hear(give.limits, address)
+            self.limits.merge(give.limits, address)
         if give.config_data:
             self._take_packed_config(give.config_data, address)
         if give.upstream_data:
--- a/soak/broken.py
+++ b/soak/broken.py
@@ -334,7 +334,7 @@
     def apply(self):
         from rowanport.gateway.limits import RateLimits
 
-        RateLimits.note_answer = lambda *_arguments: None
+        RateLimits.record_answer = lambda *_arguments: None
 
 
 class Ends(Variant):
--- a/test/test_choice.py
+++ b/test/test_choice.py
@@ -16,8 +16,8 @@
 from rowanport.gateway.load_sync import LoadSync
 from rowanport.gateway.load_sync import MIN_ANNOUNCED_TOKENS
 from rowanport.gateway.pool import UpstreamPool
-from rowanport.gateway.prefixes import KEEP_SECONDS
-from rowanport.gateway.prefixes import PrefixMap
+from rowanport.gateway.prefix_map import KEEP_SECONDS
+from rowanport.gateway.prefix_map import PrefixMap
 from rowanport.gateway.upstream import Upstream
 from rowanport.hashing import hash_of
 from rowanport.hashing import rendezvous
@@ -198,9 +198,9 @@
 
 
 def test_a_cached_prompt_is_forgotten_after_a_while(clock, router):
-    router.prefixes.note(1, "e1", clock.now)
-    assert set(router.prefixes.engines(1, clock.now)) == {"e1"}
-    assert not router.prefixes.engines(1, clock.now + KEEP_SECONDS + 1)
+    router.prefixes.record(1, "e1", clock.now)
+    assert set(router.prefixes.engines_with(1, clock.now)) == {"e1"}
+    assert not router.prefixes.engines_with(1, clock.now + KEEP_SECONDS + 1)
 
 
 def test_short_prompts_stay_in_the_own_data_centre_while_in_time(router):
@@ -264,7 +264,7 @@
 
 def test_a_long_prompt_goes_to_the_even_one_of_those_that_have_it(router):
     for name in ("e1", "e2"):
-        router.prefixes.note(hash_of("night"), name, router.clock.now)
+        router.prefixes.record(hash_of("night"), name, router.clock.now)
     first = router.send(make_job())
     (other,) = {"e1", "e2"} - {first}
     router.clock.now += 2.0
--- a/test/test_congestion.py
+++ b/test/test_congestion.py
@@ -4,51 +4,51 @@
 from test.platform_world import Platform
 
 from rowanport.clock import ManualClock
-from rowanport.gateway.congestion import Congestion
-from rowanport.gateway.congestion import FRESH_SECONDS
+from rowanport.gateway.congestion import CongestionDetector
 from rowanport.gateway.congestion import LARGE_BODY
-from rowanport.gateway.congestion import SLOW_IN_A_ROW
+from rowanport.gateway.congestion import MAX_SAMPLE_AGE
 from rowanport.gateway.congestion import SLOW_ROUND_TRIP
+from rowanport.gateway.congestion import SLOW_SAMPLES
 
 SLOW = 2 * SLOW_ROUND_TRIP
 
 
 def congested(*round_trips):
-    congestion = Congestion(ManualClock(0.0))
+    congestion = CongestionDetector(ManualClock(0.0))
     for seconds in round_trips:
-        congestion.note_round_trip(seconds)
+        congestion.record_round_trip(seconds)
     return congestion.congested
 
 
 def test_one_slow_peer_is_no_congestion():
     assert not congested()
     assert not congested(SLOW)
-    assert not congested(*[SLOW] * SLOW_IN_A_ROW, 0.003)
-    assert congested(0.003, *[SLOW] * SLOW_IN_A_ROW)
+    assert not congested(*[SLOW] * SLOW_SAMPLES, 0.003)
+    assert congested(0.003, *[SLOW] * SLOW_SAMPLES)
 
 
 def test_old_round_trips_tell_nothing():
     clock = ManualClock(0.0)
-    congestion = Congestion(clock)
-    for _number in range(SLOW_IN_A_ROW):
-        congestion.note_round_trip(SLOW)
-    clock.advance(FRESH_SECONDS + 0.1)
+    congestion = CongestionDetector(clock)
+    for _number in range(SLOW_SAMPLES):
+        congestion.record_round_trip(SLOW)
+    clock.advance(MAX_SAMPLE_AGE + 0.1)
     assert not congestion.congested
 
 
 def test_silence_keeps_a_link_congested_but_does_not_make_it_so():
     clock = ManualClock(0.0)
-    congestion = Congestion(clock)
-    for _number in range(SLOW_IN_A_ROW):
-        congestion.note_unanswered(1.0)
+    congestion = CongestionDetector(clock)
+    for _number in range(SLOW_SAMPLES):
+        congestion.record_timeout(1.0)
     assert not congestion.congested
-    for _number in range(SLOW_IN_A_ROW):
-        congestion.note_round_trip(SLOW)
+    for _number in range(SLOW_SAMPLES):
+        congestion.record_round_trip(SLOW)
     for _number in range(8):
-        clock.advance(FRESH_SECONDS / 4)
-        congestion.note_unanswered(1.0)
+        clock.advance(MAX_SAMPLE_AGE / 4)
+        congestion.record_timeout(1.0)
     assert congestion.congested
-    congestion.note_round_trip(0.003)
+    congestion.record_round_trip(0.003)
     assert not congestion.congested
 
 
@@ -57,8 +57,8 @@
     # small requests beside them were answered after their time, or never.
     async def run():
         async with Platform() as platform:
-            for _number in range(SLOW_IN_A_ROW):
-                platform.gateway.congestion.note_round_trip(SLOW)
+            for _number in range(SLOW_SAMPLES):
+                platform.gateway.congestion.record_round_trip(SLOW)
             small = await platform.ask("/safe/")
             large = await platform.ask("/safe/", body=b"x" * LARGE_BODY)
             assert (small.status, large.status) == (200, 503)
--- a/test/test_entries.py
+++ b/test/test_entries.py
@@ -248,7 +248,7 @@
         name, old.service, "10.0.0.9:9", old.data_centre, 64, False, born
     )
     for one in router.pool.update(records):
-        router.prefixes.forget(one)
+        router.prefixes.remove_engine(one)
 
 
 def test_a_run_that_began_anew_has_no_past():
@@ -267,7 +267,9 @@
         0,
     )
     assert fresh.backlog.tokens(router.clock.now) == 0
-    assert name not in router.prefixes.engines(job.prefix, router.clock.now)
+    assert name not in router.prefixes.engines_with(
+        job.prefix, router.clock.now
+    )
     assert fresh.record.address == "10.0.0.9:9"
 
 
--- a/test/test_last_check.py
+++ b/test/test_last_check.py
@@ -128,7 +128,7 @@
                     left.append(state.record.id)
                     leave(platform, state.record.id)
 
-            limits.take = waits(limits.take, leave_first)
+            limits.acquire = waits(limits.acquire, leave_first)
             answer = await platform.ask("/once/")
             assert answer.status == 200
             ran = [u.name for u in platform.upstreams if u.heads]
--- a/test/test_views.py
+++ b/test/test_views.py
@@ -9,7 +9,7 @@
 import zlib
 
 from rowanport.errors import PeerError
-from rowanport.gateway.congestion import Congestion
+from rowanport.gateway.congestion import CongestionDetector
 from rowanport.gateway.views import Views
 from rowanport.platform.config import decode_config
 from rowanport.prepaid import FleetClocks
@@ -72,7 +72,7 @@
     clock = LoopClock(loop)
     clocks = FleetClocks(clock)
     views = Views(
-        decode, members, peers, "own", clock, clocks, Congestion(clock)
+        decode, members, peers, "own", clock, clocks, CongestionDetector(clock)
     )
     views.on_table = lambda table: None
     return views
