--- a/rowanport/gateway/blocklist.py
+++ b/rowanport/gateway/blocklist.py
@@ -15,7 +15,7 @@
 from ..supervision import beat
 from ..suspects import pack_blocked
 from ..suspects import unpack_blocked
-from .fingerprint import fingerprint_text
+from .fingerprint import format_fingerprint
 from .followers import followers
 
 LOG = structlog.get_logger(__name__)
@@ -105,7 +105,7 @@
             self._value = await self._store.get_value(BLOCKED_KEY)
             self._loaded = True
             rows = unpack_blocked(self._value.data, self._clock.wall())
-            self._crashes.news.hear(SuspectNews(0, rows))
+            self._crashes.sync.receive(SuspectNews(0, rows))
         if self._due():
             await self._save()
 
@@ -122,7 +122,7 @@
         """Return how many routers come before this one."""
         routers = [address_of(other) for other in self._members.others()]
         routers.append(self._address)
-        order = rendezvous(fingerprint_text(suspect.fingerprint), routers)
+        order = rendezvous(format_fingerprint(suspect.fingerprint), routers)
         return order.index(self._address)
 
     async def _save(self):
--- a/rowanport/gateway/crashes.py
+++ b/rowanport/gateway/crashes.py
@@ -20,10 +20,10 @@
 from ..suspects import SuspectTable
 from ..tasks import TaskSet
 from ..web.client import Listening
-from .crash_news import CrashNews
-from .crash_news import LOG_LIMIT
-from .crash_news import texts_of
-from .fingerprint import fingerprint_text
+from .fingerprint import format_fingerprint
+from .suspect_sync import format_fingerprints
+from .suspect_sync import LOG_LIMIT
+from .suspect_sync import SuspectSync
 
 LOG = structlog.get_logger(__name__)
 
@@ -48,7 +48,7 @@
     :param clock: a Clock
     :param metrics: the GatewayMetrics
     :ivar table: the SuspectTable
-    :ivar news: the CrashNews, which tells peers
+    :ivar sync: the SuspectSync, which tells peers
     :ivar on_blocked: function of a Job under way whose request was blocked
     :ivar on_verdict: function that is called when requests were blocked, or
         are no more
@@ -71,11 +71,11 @@
         self._changed = asyncio.Event()
         self._tasks = TaskSet()
         self.table = SuspectTable(address)
-        self.news = CrashNews(
+        self.sync = SuspectSync(
             self.table, self._runs, peers, listeners, address, clock
         )
-        self.news.on_changes = self._hear_changes
-        self.news.on_runs = self._wake
+        self.sync.on_changes = self._hear_changes
+        self.sync.on_runs = self._wake
         self.on_blocked = None
         self.on_verdict = None
         self.on_answered = None
@@ -126,7 +126,7 @@
         now = self._clock.steady()
         flight = self._flights.begin(job, state.record.run, now)
         if self.is_suspect(job):
-            self.news.tell_run(flight)
+            self.sync.announce_run(flight)
         return flight
 
     def finish(self, flight, error=None):
@@ -137,7 +137,7 @@
         run = flight.run
         if not isinstance(error, ConnectionEnded) or not self._lives(run):
             self._flights.finish(flight)
-            self.news.end_runs([flight])
+            self.sync.announce_ends([flight])
             return
         self._flights.end(flight, self._clock.steady())
         if run.name in self._crashed:
@@ -158,12 +158,12 @@
             return
         LOG.info(
             "request_cleared",
-            fingerprint=fingerprint_text(suspect.fingerprint),
+            fingerprint=format_fingerprint(suspect.fingerprint),
             request=job.id,
             crashes=list(suspect.crashes),
         )
         self._take_changes([suspect])
-        self.news.tell([suspect])
+        self.sync.announce([suspect])
         if suspect.stored:
             self.on_answered()
 
@@ -205,7 +205,7 @@
                 self._note_crashed(run.name, crashed_at)
                 self._take_crash(run.name)
             else:
-                self.news.end_runs(self._flights.take_ended(run.name))
+                self.sync.announce_ends(self._flights.take_ended(run.name))
         finally:
             self._probes.pop(run.name, None)
             self._wake()
@@ -228,24 +228,24 @@
         at = self._crashed[name]
         flights = self._flights.take_all(name)
         now = self._clock.steady()
-        news = []
+        changed = []
         for flight in flights:
             # What was sent later never ran.
             if flight.begun <= at:
                 fingerprint = flight.job.fingerprint
-                news.append(self.table.note_crash(fingerprint, name, now))
-        news = [suspect for suspect in news if suspect is not None]
-        if news:
+                changed.append(self.table.note_crash(fingerprint, name, now))
+        changed = [suspect for suspect in changed if suspect is not None]
+        if changed:
             LOG.info(
                 "upstream_crashed",
                 upstream=name,
                 requests=[f.job.id for f in flights][:LOG_LIMIT],
-                fingerprints=texts_of(news),
+                fingerprints=format_fingerprints(changed),
             )
-        self._take_changes(news)
-        self.news.tell(news)
+        self._take_changes(changed)
+        self.sync.announce(changed)
         # Not before the crash is told: until then they count as running.
-        self.news.end_runs(flights)
+        self.sync.announce_ends(flights)
 
     def _note_crashed(self, name, at):
         """Note that an upstream's run crashed, seen here or at a peer.
@@ -267,7 +267,7 @@
         for suspect in suspects:
             for flight in self._flights.of(suspect.fingerprint):
                 if suspect.open_crashes:
-                    self.news.tell_run(flight)
+                    self.sync.announce_run(flight)
         blocked = self.table.blocked
         if blocked != self._blocked:
             self._change_verdicts(blocked)
@@ -279,7 +279,7 @@
         :param blocked: fingerprints of all that is refused
         """
         for fingerprint in self._blocked - blocked:
-            text = fingerprint_text(fingerprint)
+            text = format_fingerprint(fingerprint)
             LOG.warning("request_unblocked", fingerprint=text)
         new = blocked - self._blocked
         self._blocked = blocked
@@ -291,7 +291,7 @@
     def _block(self, suspect):
         LOG.warning(
             "request_blocked",
-            fingerprint=fingerprint_text(suspect.fingerprint),
+            fingerprint=format_fingerprint(suspect.fingerprint),
             upstreams=suspect.open_crashes,
             heard_from=suspect.source,
         )
--- a/rowanport/gateway/daemon.py
+++ b/rowanport/gateway/daemon.py
@@ -173,7 +173,7 @@
             self.clock,
             self.metrics,
         )
-        self._views.crashes = self.crashes.news
+        self._views.crashes = self.crashes.sync
         self._blocklist = Blocklist(
             self._store,
             self.crashes,
@@ -284,8 +284,8 @@
             messages.ViewAsk: self._views.handle,
             messages.UpstreamNews: self._views.hear_news,
             messages.LoadNote: self.loads.receive,
-            messages.SuspectNews: self.crashes.news.hear,
-            messages.SuspectRun: self.crashes.news.hear_run,
+            messages.SuspectNews: self.crashes.sync.receive,
+            messages.SuspectRun: self.crashes.sync.receive_run,
             messages.LimitNews: self.limits.receive,
             messages.PermitAsk: self.limits.grant,
         }
--- a/rowanport/gateway/decisions.py
+++ b/rowanport/gateway/decisions.py
@@ -3,7 +3,7 @@
 import structlog
 
 from ..errors import ConnectionEnded
-from .fingerprint import fingerprint_text
+from .fingerprint import format_fingerprint
 
 LOG = structlog.get_logger(__name__)
 
@@ -28,7 +28,7 @@
         LOG.info(
             "send",
             request=job.id,
-            fingerprint=fingerprint_text(job.fingerprint),
+            fingerprint=format_fingerprint(job.fingerprint),
             upstream=state.record.id,
             outcome=outcome,
             why=str(error),
@@ -58,7 +58,7 @@
         LOG.info(
             "request",
             request=job.id,
-            fingerprint=fingerprint_text(job.fingerprint),
+            fingerprint=format_fingerprint(job.fingerprint),
             outcome=outcome,
             why=why,
             route=job.route.name,
--- a/rowanport/gateway/fingerprint.py
+++ b/rowanport/gateway/fingerprint.py
@@ -18,7 +18,7 @@
     def __init__(self, secret):
         self._key = secret.encode()[:KEY_LIMIT]
 
-    def of(self, request, organisation):
+    def compute(self, request, organisation):
         """Return the fingerprint of a request, a number of 64 bits.
 
         :param request: the HttpRequest; its method, path and body count
@@ -32,6 +32,6 @@
         return int.from_bytes(hasher.digest(), "big")
 
 
-def fingerprint_text(fingerprint):
+def format_fingerprint(fingerprint):
     """Return a fingerprint as logs show it."""
     return f"{fingerprint:016x}"
--- a/rowanport/gateway/job.py
+++ b/rowanport/gateway/job.py
@@ -208,7 +208,7 @@
         job.config = table.version
         self._identify(job, table)
         organisation = job.organisation.name if job.organisation else ""
-        job.fingerprint = self._fingerprints.of(request, organisation)
+        job.fingerprint = self._fingerprints.compute(request, organisation)
         self._read_deadline(job, now)
         self._read_tokens(job, table)
         self._read_affinity(job)
--- a/rowanport/gateway/crash_news.py
+++ b/rowanport/gateway/suspect_sync.py
@@ -9,7 +9,7 @@
 
 from ..schema.messages import SuspectNews
 from ..schema.messages import SuspectRun
-from .fingerprint import fingerprint_text
+from .fingerprint import format_fingerprint
 
 LOG = structlog.get_logger(__name__)
 
@@ -21,7 +21,7 @@
 LOG_LIMIT = 20
 
 
-class CrashNews:
+class SuspectSync:
     """What routers tell each other of suspects.
 
     :param table: the SuspectTable
@@ -48,7 +48,7 @@
 
     # At once
 
-    def tell(self, suspects):
+    def announce(self, suspects):
         """Tell peers what is known of some Suspects."""
         if not suspects:
             return
@@ -57,7 +57,7 @@
         news = SuspectNews(self._table.digest, rows)
         self._peers.tell(self._listeners(), news)
 
-    def tell_run(self, flight):
+    def announce_run(self, flight):
         """Count a suspect's run, and tell peers of it."""
         now = self._clock.steady()
         job, run = flight.job, flight.run.name
@@ -66,14 +66,14 @@
         message = SuspectRun(job.fingerprint, run, self._address, seconds)
         self._peers.tell(self._listeners(), message)
 
-    def end_runs(self, flights):
+    def announce_ends(self, flights):
         """Count the runs of some Flights no more, and tell peers."""
         for flight in flights:
             key = flight.job.fingerprint, flight.run.name, self._address
             if self._runs.end(*key):
                 self._peers.tell(self._listeners(), SuspectRun(*key, 0.0))
 
-    def hear_run(self, message):
+    def receive_run(self, message):
         """Take in a SuspectRun."""
         key = message.fingerprint, message.upstream, message.router
         if message.seconds > 0:
@@ -83,7 +83,7 @@
             self._runs.end(*key)
         self.on_runs()
 
-    def hear(self, news):
+    def receive(self, news):
         """Take in SuspectNews."""
         now = self._clock.steady()
         merged = [self._table.merge(row, now) for row in news.rows]
@@ -93,13 +93,13 @@
         LOG.info(
             "suspects_heard",
             heard_from=changed[0].source,
-            fingerprints=texts_of(changed),
+            fingerprints=format_fingerprints(changed),
         )
         self.on_changes(changed)
 
     # With questions
 
-    def ask_news(self):
+    def build_poll(self):
         """Return the SuspectNews that go along with a question to a peer."""
         now = self._clock.steady()
         if now < self._push_until:
@@ -108,21 +108,21 @@
             rows = self._table.rows_since(now - RECENT_SECONDS, now)
         return SuspectNews(self._table.digest, rows)
 
-    def answer_news(self, news):
+    def answer_poll(self, news):
         """Take in an asker's SuspectNews; return what it may not know."""
-        self.hear(news)
+        self.receive(news)
         rows = []
         if news.digest != self._table.digest:
             rows = self._table.some_rows(self._clock.steady())
         return SuspectNews(self._table.digest, rows)
 
-    def take_answer(self, news):
+    def receive_answer(self, news):
         """Take in the SuspectNews that a peer answered with."""
-        self.hear(news)
+        self.receive(news)
         if news.digest != self._table.digest:
             self._push_until = self._clock.steady() + RECENT_SECONDS
 
 
-def texts_of(suspects):
+def format_fingerprints(suspects):
     """Return the fingerprints of some Suspects as logs show them."""
-    return [fingerprint_text(s.fingerprint) for s in suspects][:LOG_LIMIT]
+    return [format_fingerprint(s.fingerprint) for s in suspects][:LOG_LIMIT]
--- a/rowanport/gateway/views.py
+++ b/rowanport/gateway/views.py
@@ -64,7 +64,7 @@
     :ivar tell: function of a peer's address and a message that sends the
         message on a connection that the peer has open
     :ivar loads: the LoadSync that asks and answers along with it, or None
-    :ivar crashes: the CrashNews that do, too, or None
+    :ivar crashes: the SuspectSync that does, too, or None
     :ivar limits: the RateLimits that do, too, or None
     """
 
@@ -212,7 +212,7 @@
             seconds = message.recent / 1000
             give.notes = self.loads.recent(seconds, message.asker)
         if self.crashes is not None:
-            give.suspects = self.crashes.answer_news(message.suspects)
+            give.suspects = self.crashes.answer_poll(message.suspects)
         if self.limits is not None:
             self.limits.merge(message.limits, message.asker)
             give.limits = self.limits.rows()
@@ -331,7 +331,7 @@
             self._address,
             self._clock.wall(),
             round(1000 * seconds),
-            self.crashes.ask_news() if self.crashes else SuspectNews(0, []),
+            self.crashes.build_poll() if self.crashes else SuspectNews(0, []),
             self.limits.rows() if self.limits else [],
             has[1],
         )
@@ -358,7 +358,7 @@
         for note in give.notes:
             self.loads.apply(note)
         if self.crashes is not None:
-            self.crashes.take_answer(give.suspects)
+            self.crashes.receive_answer(give.suspects)
         if self.limits is not None:
             self.limits.merge(give.limits, address)
         if give.config_data:
--- a/test/test_fingerprint.py
+++ b/test/test_fingerprint.py
@@ -1,7 +1,7 @@
 """What tells one request from another."""
 
-from rowanport.gateway.fingerprint import fingerprint_text
 from rowanport.gateway.fingerprint import Fingerprints
+from rowanport.gateway.fingerprint import format_fingerprint
 
 
 class Request:
@@ -18,26 +18,28 @@
 
 
 def test_a_request_sent_again_has_the_same_fingerprint_everywhere():
-    first = PRINTS.of(Request(fields=[("id", "1")]), "org")
-    again = Fingerprints("a secret").of(Request(fields=[("id", "2")]), "org")
+    first = PRINTS.compute(Request(fields=[("id", "1")]), "org")
+    again = Fingerprints("a secret").compute(
+        Request(fields=[("id", "2")]), "org"
+    )
     assert first == again
 
 
 def test_method_path_body_and_caller_tell_requests_apart():
     prints = {
-        PRINTS.of(Request(), "org"),
-        PRINTS.of(Request(), "other"),
-        PRINTS.of(Request(method="GET"), "org"),
-        PRINTS.of(Request(path="/b/"), "org"),
-        PRINTS.of(Request(body=b"y"), "org"),
+        PRINTS.compute(Request(), "org"),
+        PRINTS.compute(Request(), "other"),
+        PRINTS.compute(Request(method="GET"), "org"),
+        PRINTS.compute(Request(path="/b/"), "org"),
+        PRINTS.compute(Request(body=b"y"), "org"),
     }
     assert len(prints) == 5
 
 
 def test_another_secret_gives_other_fingerprints():
-    other = Fingerprints("another secret").of(Request(), "org")
-    assert other != PRINTS.of(Request(), "org")
+    other = Fingerprints("another secret").compute(Request(), "org")
+    assert other != PRINTS.compute(Request(), "org")
 
 
 def test_a_fingerprint_is_shown_as_sixteen_digits():
-    assert fingerprint_text(255) == "00000000000000ff"
+    assert format_fingerprint(255) == "00000000000000ff"
