--- a/rowanport/gateway/attempt.py
+++ b/rowanport/gateway/attempt.py
@@ -20,8 +20,8 @@
     :param state: the UpstreamState that it went to
     :param opening: task that returns its HttpAnswer
     :param relay: function from the HttpAnswer to its Relay
-    :param flight: the Flight that counts it
-    :ivar flight: its Flight
+    :param flight: the InFlightSend that counts it
+    :ivar flight: its InFlightSend
     :ivar tokens: tokens that are set aside for it beside another one
     :ivar answer: the HttpAnswer, None until its head is here
     :ivar silent_at: steady time from which its silence is too long, None if
--- a/rowanport/gateway/blocklist.py
+++ b/rowanport/gateway/blocklist.py
@@ -56,11 +56,11 @@
         self._outdated = False
         self._changed = asyncio.Event()
 
-    def note_change(self):
+    def on_blocked(self):
         """Note that a request was blocked."""
         self._changed.set()
 
-    def note_answered(self):
+    def on_blocked_answered(self):
         """Note that this router saw a whole answer to a blocked request."""
         self._outdated = True
         self._changed.set()
@@ -162,5 +162,5 @@
     def _note_stored(self, rows):
         now = self._clock.steady()
         for row in rows:
-            self._crashes.table.note_stored(row.fingerprint, now)
+            self._crashes.table.mark_stored(row.fingerprint, now)
         LOG.info("blocklist_stored", count=len(rows))
--- a/rowanport/gateway/crashes.py
+++ b/rowanport/gateway/crashes.py
@@ -13,9 +13,9 @@
 from ..errors import ErrorKind
 from ..errors import RequestError
 from ..supervision import beat
-from ..suspects import BLOCK_CRASHES
-from ..suspects import Flights
-from ..suspects import place
+from ..suspects import BLOCK_THRESHOLD
+from ..suspects import InFlightSends
+from ..suspects import select_isolated
 from ..suspects import SuspectRuns
 from ..suspects import SuspectTable
 from ..tasks import TaskSet
@@ -63,7 +63,7 @@
         self._client = client
         self._clock = clock
         self._metrics = metrics
-        self._flights = Flights()
+        self._sends = InFlightSends()
         self._runs = SuspectRuns()
         self._probes = {}
         self._crashed = {}
@@ -77,8 +77,8 @@
         self.sync.on_changes = self._hear_changes
         self.sync.on_runs = self._wake
         self.on_blocked = None
-        self.on_verdict = None
-        self.on_answered = None
+        self.on_blocklist_change = None
+        self.on_blocked_answered = None
 
     # Requests
 
@@ -87,7 +87,7 @@
         suspect = self.table.get(job.fingerprint)
         if suspect is None or not suspect.blocked:
             return
-        runs = ", ".join(suspect.open_crashes)
+        runs = ", ".join(suspect.uncleared_crashes)
         why = f"upstreams crashed under it: {runs}"
         if job.runs:
             raise RequestError(ErrorKind.UPSTREAM_FAILED, why)
@@ -113,33 +113,33 @@
         """Return whether an upstream crashed under a request."""
         return self._against(job.fingerprint) > 0
 
-    def place(self, job, candidates, now):
+    def isolate(self, job, candidates, now):
         """Return the UpstreamStates among some to which a job may go."""
         if not self._runs and not self.is_suspect(job):
             return candidates
-        return place(
+        return select_isolated(
             candidates, job.fingerprint, self._against, self._runs, now
         )
 
-    def begin(self, job, state):
-        """Note that a job is sent; return its Flight."""
+    def start_run(self, job, state):
+        """Note that a job is sent; return its InFlightSend."""
         now = self._clock.steady()
-        flight = self._flights.begin(job, state.record.run, now)
+        send = self._sends.add(job, state.record.run, now)
         if self.is_suspect(job):
-            self.sync.announce_run(flight)
-        return flight
+            self.sync.announce_run(send)
+        return send
 
-    def finish(self, flight, error=None):
+    def finish_run(self, send, error=None):
         """Note that a run is over; it may be told again.
 
         :param error: the UpstreamError that ended it, or None
         """
-        run = flight.run
+        run = send.run
         if not isinstance(error, ConnectionEnded) or not self._lives(run):
-            self._flights.finish(flight)
-            self.sync.announce_ends([flight])
+            self._sends.remove(send)
+            self.sync.announce_ends([send])
             return
-        self._flights.end(flight, self._clock.steady())
+        self._sends.mark_ended(send, self._clock.steady())
         if run.name in self._crashed:
             self._take_crash(run.name)
         elif run.name not in self._probes:
@@ -147,13 +147,15 @@
             probe = self._tasks.spawn(self._probe(run, address))
             self._probes[run.name] = probe
 
-    def note_whole(self, job, run):
+    def record_success(self, job, run):
         """Note that an upstream answered a job whole.
 
         :param run: the UpstreamRun
         """
         self._crashed.pop(run.name, None)
-        suspect = self.table.note_whole(job.fingerprint, self._clock.steady())
+        suspect = self.table.record_success(
+            job.fingerprint, self._clock.steady()
+        )
         if suspect is None:
             return
         LOG.info(
@@ -165,7 +167,7 @@
         self._take_changes([suspect])
         self.sync.announce([suspect])
         if suspect.stored:
-            self.on_answered()
+            self.on_blocked_answered()
 
     def close(self):
         """End what is under way."""
@@ -175,8 +177,8 @@
 
     def _against(self, fingerprint):
         """Return the crashes against a request, likely ones included."""
-        known = self.table.crashes(fingerprint)
-        return known + len(self._flights.ended_runs(fingerprint))
+        known = self.table.crash_count(fingerprint)
+        return known + len(self._sends.runs_that_ended(fingerprint))
 
     def _may_run(self, fingerprint):
         """Return whether a request may have one more run at this time.
@@ -185,7 +187,7 @@
         recognise it.
         """
         running = self._runs.count(fingerprint, self._clock.steady())
-        missing = BLOCK_CRASHES - self._against(fingerprint)
+        missing = BLOCK_THRESHOLD - self._against(fingerprint)
         return running < max(1, missing)
 
     def _lives(self, run):
@@ -200,12 +202,12 @@
         try:
             if await self._is_gone(run.name, address):
                 now = self._clock.steady()
-                crashed_at = self._flights.first_end(run.name) or now
+                crashed_at = self._sends.first_ended_at(run.name) or now
                 self._metrics.crashes.inc({})
                 self._note_crashed(run.name, crashed_at)
                 self._take_crash(run.name)
             else:
-                self.sync.announce_ends(self._flights.take_ended(run.name))
+                self.sync.announce_ends(self._sends.pop_ended(run.name))
         finally:
             self._probes.pop(run.name, None)
             self._wake()
@@ -219,33 +221,33 @@
         listening = await self._client.probe(address)
         if listening is not Listening.HANGS_UP:
             return listening is Listening.REFUSES
-        return not self._flights.open_at(name) and (
+        return not self._sends.sends_at(name) and (
             not self._client.has_idle(address)
         )
 
     def _take_crash(self, name):
         """Take in that an upstream's run crashed under own requests."""
         at = self._crashed[name]
-        flights = self._flights.take_all(name)
+        sends = self._sends.pop_all(name)
         now = self._clock.steady()
         changed = []
-        for flight in flights:
+        for send in sends:
             # What was sent later never ran.
-            if flight.begun <= at:
-                fingerprint = flight.job.fingerprint
-                changed.append(self.table.note_crash(fingerprint, name, now))
+            if send.sent_at <= at:
+                fingerprint = send.job.fingerprint
+                changed.append(self.table.record_crash(fingerprint, name, now))
         changed = [suspect for suspect in changed if suspect is not None]
         if changed:
             LOG.info(
                 "upstream_crashed",
                 upstream=name,
-                requests=[f.job.id for f in flights][:LOG_LIMIT],
+                requests=[f.job.id for f in sends][:LOG_LIMIT],
                 fingerprints=format_fingerprints(changed),
             )
         self._take_changes(changed)
         self.sync.announce(changed)
         # Not before the crash is told: until then they count as running.
-        self.sync.announce_ends(flights)
+        self.sync.announce_ends(sends)
 
     def _note_crashed(self, name, at):
         """Note that an upstream's run crashed, seen here or at a peer.
@@ -265,9 +267,9 @@
     def _take_changes(self, suspects):
         """Act on what is new of some Suspects."""
         for suspect in suspects:
-            for flight in self._flights.of(suspect.fingerprint):
-                if suspect.open_crashes:
-                    self.sync.announce_run(flight)
+            for send in self._sends.sends_of(suspect.fingerprint):
+                if suspect.uncleared_crashes:
+                    self.sync.announce_run(send)
         blocked = self.table.blocked
         if blocked != self._blocked:
             self._change_verdicts(blocked)
@@ -286,17 +288,17 @@
         self._metrics.blocked_requests.set({}, len(blocked))
         for fingerprint in new:
             self._block(self.table.get(fingerprint))
-        self.on_verdict()
+        self.on_blocklist_change()
 
     def _block(self, suspect):
         LOG.warning(
             "request_blocked",
             fingerprint=format_fingerprint(suspect.fingerprint),
-            upstreams=suspect.open_crashes,
+            upstreams=suspect.uncleared_crashes,
             heard_from=suspect.source,
         )
-        for flight in self._flights.of(suspect.fingerprint):
-            self.on_blocked(flight.job)
+        for send in self._sends.sends_of(suspect.fingerprint):
+            self.on_blocked(send.job)
 
     def _hear_changes(self, suspects):
         """Act on what a peer told of some Suspects."""
@@ -315,9 +317,9 @@
     def _settle(self):
         """Forget what is old, and clear what ran beside a refused request."""
         now = self._clock.steady()
-        self.table.forget(now)
-        self._runs.forget(now)
-        self._take_changes(self.table.settle(now))
+        self.table.expire(now)
+        self._runs.expire(now)
+        self._take_changes(self.table.clear_bystanders(now))
 
     # Waiting
 
--- a/rowanport/gateway/daemon.py
+++ b/rowanport/gateway/daemon.py
@@ -181,8 +181,8 @@
             settings.peers,
             self.clock,
         )
-        self.crashes.on_verdict = self._blocklist.note_change
-        self.crashes.on_answered = self._blocklist.note_answered
+        self.crashes.on_blocklist_change = self._blocklist.on_blocked
+        self.crashes.on_blocked_answered = self._blocklist.on_blocked_answered
         self.refusals = Refusals(self.clock)
         self.stopping = Stopping(self.members, self.clock)
         self.forwarder = Forwarder(self)
--- a/rowanport/gateway/sending.py
+++ b/rowanport/gateway/sending.py
@@ -60,7 +60,7 @@
                 attempt = await self._step(attempt)
             attempt.state.note_success()
             run = attempt.state.record.run
-            self._crashes.note_whole(self._job, run)
+            self._crashes.record_success(self._job, run)
             self._log.note_answered()
         finally:
             for attempt in self._attempts:
@@ -134,7 +134,7 @@
         # Counted at once, so that others of this moment go elsewhere.
         ahead = self._note_load(state)
         opening = asyncio.ensure_future(self._open(state, ahead))
-        flight = self._crashes.begin(job, state)
+        flight = self._crashes.start_run(job, state)
         attempt = Attempt(state, opening, self._relay, flight)
         self._attempts.append(attempt)
         self._note_sign(attempt)
@@ -169,7 +169,7 @@
         choice = gateway.choice(job.tokens is not None)
         if not job.sends:
             self._check_in_time(choice, candidates, now)
-        candidates = self._crashes.place(job, candidates, now)
+        candidates = self._crashes.isolate(job, candidates, now)
         state = choice.choose(candidates, job, now)
         job.backlog = round(state.backlog.tokens(now))
         return state
@@ -255,7 +255,7 @@
         :param error: the UpstreamError that ended it, or None
         """
         if not attempt.closed:
-            self._crashes.finish(attempt.flight, error)
+            self._crashes.finish_run(attempt.flight, error)
             attempt.close()
 
     def _note_rejection(self, state, error):
--- a/rowanport/gateway/suspect_sync.py
+++ b/rowanport/gateway/suspect_sync.py
@@ -57,20 +57,20 @@
         news = SuspectNews(self._table.digest, rows)
         self._peers.tell(self._listeners(), news)
 
-    def announce_run(self, flight):
+    def announce_run(self, send):
         """Count a suspect's run, and tell peers of it."""
         now = self._clock.steady()
-        job, run = flight.job, flight.run.name
+        job, run = send.job, send.run.name
         seconds = max(0.0, min(RUN_SECONDS, job.deadline - now))
-        self._runs.begin(job.fingerprint, run, self._address, now + seconds)
+        self._runs.add(job.fingerprint, run, self._address, now + seconds)
         message = SuspectRun(job.fingerprint, run, self._address, seconds)
         self._peers.tell(self._listeners(), message)
 
-    def announce_ends(self, flights):
-        """Count the runs of some Flights no more, and tell peers."""
-        for flight in flights:
-            key = flight.job.fingerprint, flight.run.name, self._address
-            if self._runs.end(*key):
+    def announce_ends(self, sends):
+        """Count the runs of some InFlightSends no more, and tell peers."""
+        for send in sends:
+            key = send.job.fingerprint, send.run.name, self._address
+            if self._runs.remove(*key):
                 self._peers.tell(self._listeners(), SuspectRun(*key, 0.0))
 
     def receive_run(self, message):
@@ -78,9 +78,9 @@
         key = message.fingerprint, message.upstream, message.router
         if message.seconds > 0:
             seconds = min(RUN_SECONDS, message.seconds)
-            self._runs.begin(*key, self._clock.steady() + seconds)
+            self._runs.add(*key, self._clock.steady() + seconds)
         else:
-            self._runs.end(*key)
+            self._runs.remove(*key)
         self.on_runs()
 
     def receive(self, news):
@@ -103,7 +103,7 @@
         """Return the SuspectNews that go along with a question to a peer."""
         now = self._clock.steady()
         if now < self._push_until:
-            rows = self._table.some_rows(now)
+            rows = self._table.next_rows(now)
         else:
             rows = self._table.rows_since(now - RECENT_SECONDS, now)
         return SuspectNews(self._table.digest, rows)
@@ -113,7 +113,7 @@
         self.receive(news)
         rows = []
         if news.digest != self._table.digest:
-            rows = self._table.some_rows(self._clock.steady())
+            rows = self._table.next_rows(self._clock.steady())
         return SuspectNews(self._table.digest, rows)
 
     def receive_answer(self, news):
--- a/rowanport/suspects/__init__.py
+++ b/rowanport/suspects/__init__.py
@@ -4,19 +4,19 @@
 say, and asks what may run where.
 """
 
-from .archive import pack_blocked
-from .archive import unpack_blocked
-from .flights import Flights
-from .placing import place
+from .in_flight import InFlightSends
+from .isolation import select_isolated
 from .runs import SuspectRuns
-from .table import BLOCK_CRASHES
+from .stored_record import pack_blocked
+from .stored_record import unpack_blocked
+from .table import BLOCK_THRESHOLD
 from .table import SuspectTable
 
 __all__ = [
-    "BLOCK_CRASHES",
-    "Flights",
+    "BLOCK_THRESHOLD",
+    "InFlightSends",
     "pack_blocked",
-    "place",
+    "select_isolated",
     "SuspectRuns",
     "SuspectTable",
     "unpack_blocked",
--- a/rowanport/suspects/placing.py
+++ b/rowanport/suspects/isolation.py
@@ -11,7 +11,7 @@
 SAME_WEIGHT = 4
 
 
-def place(candidates, fingerprint, crashes, runs, now):
+def select_isolated(candidates, fingerprint, crashes, runs, now):
     """Return the UpstreamStates among some to which a request may go.
 
     :param candidates: UpstreamStates, at least one
@@ -41,7 +41,7 @@
         for state in candidates
         if not any(
             crashes(other) >= LIKELY_CRASHES
-            for other in runs.at(state.record.run.name, now)
+            for other in runs.fingerprints_at(state.record.run.name, now)
         )
     ]
     return safe or candidates
@@ -49,7 +49,7 @@
 
 def _weight(state, fingerprint, crashes, runs, now):
     """Return how much speaks against the suspects at an upstream."""
-    others = runs.at(state.record.run.name, now)
+    others = runs.fingerprints_at(state.record.run.name, now)
     return sum(
         SAME_WEIGHT if other == fingerprint else crashes(other)
         for other in others
--- a/rowanport/suspects/runs.py
+++ b/rowanport/suspects/runs.py
@@ -14,7 +14,7 @@
     def __len__(self):
         return len(self._until)
 
-    def begin(self, fingerprint, upstream, router, until):
+    def add(self, fingerprint, upstream, router, until):
         """Note that a suspect runs.
 
         :param upstream: name of the upstream's run
@@ -23,12 +23,12 @@
         """
         self._until[fingerprint, upstream, router] = until
 
-    def end(self, fingerprint, upstream, router):
+    def remove(self, fingerprint, upstream, router):
         """Note that a suspect runs no more; return whether it was counted."""
         key = fingerprint, upstream, router
         return self._until.pop(key, None) is not None
 
-    def forget(self, now):
+    def expire(self, now):
         """Drop the runs that are over."""
         self._until = {k: t for k, t in self._until.items() if t > now}
 
@@ -40,7 +40,7 @@
             if other == fingerprint and until > now
         )
 
-    def at(self, upstream, now):
+    def fingerprints_at(self, upstream, now):
         """Return the fingerprints of the suspects that run at an upstream.
 
         :param upstream: name of the upstream's run
--- a/rowanport/suspects/table.py
+++ b/rowanport/suspects/table.py
@@ -15,7 +15,7 @@
 from ..schema.messages import SuspectRow
 
 # Upstreams that have crashed under a request when it is refused everywhere.
-BLOCK_CRASHES = 3
+BLOCK_THRESHOLD = 3
 # Requests that would be refused for crashes within some seconds from which on
 # none of them is: then the upstreams crash by themselves, whatever they run.
 STORM_REQUESTS = 10
@@ -73,17 +73,17 @@
         self._digest = 0
 
     @property
-    def open_crashes(self):
+    def uncleared_crashes(self):
         """Return the runs whose crash no later answer has cleared it of."""
         return [run for run in self.crashes if run not in self.cleared]
 
     @property
-    def limit_at(self):
+    def threshold_at(self):
         """Return the steady time of its third open crash, None before it."""
-        times = sorted(self.crashes[run] for run in self.open_crashes)
-        if len(times) < BLOCK_CRASHES:
+        times = sorted(self.crashes[run] for run in self.uncleared_crashes)
+        if len(times) < BLOCK_THRESHOLD:
             return None
-        return times[BLOCK_CRASHES - 1]
+        return times[BLOCK_THRESHOLD - 1]
 
     @property
     def digest(self):
@@ -109,7 +109,7 @@
         self.changed_at = now
         self.forget_at = self._forget_at(now)
         self._digest = 0
-        if self.open_crashes:
+        if self.uncleared_crashes:
             runs = " ".join(sorted(self.crashes))
             cleared = " ".join(sorted(self.cleared))
             self._digest = hash_of(
@@ -117,9 +117,9 @@
             )
 
     def _forget_at(self, now):
-        if not self.open_crashes:
+        if not self.uncleared_crashes:
             return now + CLEARED_SECONDS
-        keep = SUSPECT_SECONDS if self.limit_at is None else KEEP_SECONDS
+        keep = SUSPECT_SECONDS if self.threshold_at is None else KEEP_SECONDS
         return max(self.crashes.values()) + keep
 
 
@@ -158,10 +158,10 @@
         """Return the Suspect of a fingerprint, or None."""
         return self._suspects.get(fingerprint)
 
-    def crashes(self, fingerprint):
+    def crash_count(self, fingerprint):
         """Return how many crashes speak against a request."""
         suspect = self._suspects.get(fingerprint)
-        return len(suspect.open_crashes) if suspect else 0
+        return len(suspect.uncleared_crashes) if suspect else 0
 
     def is_blocked(self, fingerprint):
         """Return whether a request is refused."""
@@ -170,7 +170,7 @@
 
     # What this router saw
 
-    def note_crash(self, fingerprint, run, now):
+    def record_crash(self, fingerprint, run, now):
         """Note that an upstream's run crashed under a request.
 
         :returns: the Suspect if that is news, else None
@@ -182,20 +182,20 @@
         self._put(suspect, now)
         return suspect
 
-    def note_whole(self, fingerprint, now):
+    def record_success(self, fingerprint, now):
         """Note that a request was answered whole.
 
         :returns: the Suspect that this clears, or None
         """
         suspect = self._suspects.get(fingerprint)
-        if suspect is None or not suspect.open_crashes:
+        if suspect is None or not suspect.uncleared_crashes:
             return None
         suspect.cleared.update(suspect.crashes)
         suspect.source = self._address
         self._put(suspect, now)
         return suspect
 
-    def note_stored(self, fingerprint, now):
+    def mark_stored(self, fingerprint, now):
         """Note that the store holds that a request is blocked."""
         suspect = self._suspects.get(fingerprint)
         if suspect is not None and not suspect.stored:
@@ -228,7 +228,7 @@
         )
         return [self.row(s, now) for s in newest if s.changed_at > since]
 
-    def some_rows(self, now):
+    def next_rows(self, now):
         """Return the newest SuspectRows, and others in turn.
 
         Asked again and again, it returns all.
@@ -271,7 +271,7 @@
 
     # Bounds
 
-    def forget(self, now):
+    def expire(self, now):
         """Drop what is old; return its Suspects."""
         old = [s for s in self._suspects.values() if s.forget_at <= now]
         for suspect in old:
@@ -292,30 +292,30 @@
     def _judge(self, suspect):
         """Decide what is refused, after a change of one Suspect."""
         known = suspect.fingerprint in self._at_limit
-        if known == (suspect.limit_at is not None):
+        if known == (suspect.threshold_at is not None):
             return
         if known:
             del self._at_limit[suspect.fingerprint]
             suspect.blocked = False
         else:
             self._at_limit[suspect.fingerprint] = suspect
-        times = sorted(one.limit_at for one in self._at_limit.values())
+        times = sorted(one.threshold_at for one in self._at_limit.values())
         for one in self._at_limit.values():
-            at = one.limit_at
+            at = one.threshold_at
             first = bisect.bisect_left(times, at - STORM_SECONDS)
             last = bisect.bisect_right(times, at + STORM_SECONDS)
             one.blocked = last - first < STORM_REQUESTS
 
     # Those that ran beside
 
-    def settle(self, now):
+    def clear_bystanders(self, now):
         """Clear others of the crashes that a refused request explains.
 
         :returns: the Suspects that this changes
         """
         explained = set()
         for suspect in self._at_limit.values():
-            if suspect.blocked and suspect.limit_at < now - SETTLE_SECONDS:
+            if suspect.blocked and suspect.threshold_at < now - SETTLE_SECONDS:
                 explained.update(suspect.crashes)
         changed = []
         if not explained:
@@ -323,7 +323,7 @@
         for suspect in self.suspects:
             if suspect.fingerprint in self._at_limit:
                 continue
-            beside = explained.intersection(suspect.open_crashes)
+            beside = explained.intersection(suspect.uncleared_crashes)
             if beside:
                 suspect.cleared |= beside
                 self._put(suspect, now)
--- a/soak/broken.py
+++ b/soak/broken.py
@@ -304,7 +304,7 @@
     def apply(self):
         from rowanport.suspects import SuspectTable
 
-        SuspectTable.note_crash = lambda *_arguments: None
+        SuspectTable.record_crash = lambda *_arguments: None
 
 
 class BlamesAll(Variant):
@@ -321,7 +321,7 @@
             return True
 
         CrashGuard._is_gone = is_gone
-        table.BLOCK_CRASHES = 1
+        table.BLOCK_THRESHOLD = 1
         table.STORM_REQUESTS = 1000
 
 
--- a/test/test_suspects.py
+++ b/test/test_suspects.py
@@ -9,13 +9,13 @@
 from rowanport.gateway.upstream import Upstream
 from rowanport.schema.messages import CrashSeen
 from rowanport.schema.messages import SuspectRow
-from rowanport.suspects import Flights
+from rowanport.suspects import InFlightSends
 from rowanport.suspects import pack_blocked
-from rowanport.suspects import place
+from rowanport.suspects import select_isolated
 from rowanport.suspects import SuspectRuns
 from rowanport.suspects import SuspectTable
 from rowanport.suspects import unpack_blocked
-from rowanport.suspects.archive import RECORD_LIMIT
+from rowanport.suspects.stored_record import RECORD_LIMIT
 from rowanport.suspects.table import CLEARED_SECONDS
 from rowanport.suspects.table import CRASH_LIMIT
 from rowanport.suspects.table import KEEP_SECONDS
@@ -38,7 +38,7 @@
 def crash(table, *runs, fingerprint=PRINT, now=NOW):
     """Let upstreams crash under a request."""
     for run in runs:
-        table.note_crash(fingerprint, run, now)
+        table.record_crash(fingerprint, run, now)
 
 
 def rows_of(table, now=NOW):
@@ -57,21 +57,21 @@
 
 def test_a_crash_counts_once_however_often_it_is_seen(table):
     crash(table, "a", "a")
-    assert table.crashes(PRINT) == 1
-    assert table.note_crash(PRINT, "a", NOW) is None
+    assert table.crash_count(PRINT) == 1
+    assert table.record_crash(PRINT, "a", NOW) is None
 
 
 def test_a_whole_answer_clears_a_request(table):
     crash(table, "a", "b")
-    assert table.note_whole(PRINT, NOW)
+    assert table.record_success(PRINT, NOW)
     crash(table, "c")
-    assert table.crashes(PRINT) == 1
-    assert table.note_whole(2, NOW) is None
+    assert table.crash_count(PRINT) == 1
+    assert table.record_success(2, NOW) is None
 
 
 def test_a_crash_after_a_whole_answer_counts_again(table):
     crash(table, "a")
-    table.note_whole(PRINT, NOW)
+    table.record_success(PRINT, NOW)
     crash(table, "b", "c", "d")
     assert table.is_blocked(PRINT)
 
@@ -80,21 +80,21 @@
     crash(table, "a", "b", "c", fingerprint=1)
     crash(table, "a", "b", fingerprint=2)
     crash(table, "c", "d", fingerprint=3)
-    assert not table.settle(NOW + SETTLE_SECONDS)
-    changed = table.settle(NOW + SETTLE_SECONDS + 0.1)
+    assert not table.clear_bystanders(NOW + SETTLE_SECONDS)
+    changed = table.clear_bystanders(NOW + SETTLE_SECONDS + 0.1)
     assert [suspect.fingerprint for suspect in changed] == [2, 3]
-    assert table.crashes(1) == 3
-    assert table.crashes(2) == 0
-    assert table.crashes(3) == 1
-    assert not table.settle(NOW + SETTLE_SECONDS + 0.2)
+    assert table.crash_count(1) == 3
+    assert table.crash_count(2) == 0
+    assert table.crash_count(3) == 1
+    assert not table.clear_bystanders(NOW + SETTLE_SECONDS + 0.2)
 
 
 def test_upstreams_that_crash_whatever_they_run_block_nothing(table):
     for number in range(STORM_REQUESTS):
         crash(table, "a", "b", "c", fingerprint=number, now=NOW + number)
     assert not table.blocked
-    assert table.crashes(1) == 3
-    assert not table.settle(NOW + 30)
+    assert table.crash_count(1) == 3
+    assert not table.clear_bystanders(NOW + 30)
     # One alone, later, is to blame again.
     late = NOW + STORM_SECONDS + STORM_REQUESTS
     crash(table, "e", "f", "g", fingerprint=1000, now=late)
@@ -105,7 +105,7 @@
     for number in range(STORM_REQUESTS):
         crash(table, "a", "b", "c", fingerprint=number)
     for number in range(1, STORM_REQUESTS):
-        table.note_whole(number, NOW)
+        table.record_success(number, NOW)
     assert table.blocked == {0}
 
 
@@ -134,7 +134,7 @@
         if kind < 0.4:
             crash(table, draw.choice("abcde"), fingerprint=draw.randint(1, 2))
         elif kind < 0.55:
-            table.note_whole(draw.randint(1, 2), NOW)
+            table.record_success(draw.randint(1, 2), NOW)
         else:
             messages += rows_of(table)
         if messages and draw.random() < 0.7:
@@ -216,12 +216,12 @@
     crash(table, "a", fingerprint=1)
     crash(table, "a", "b", "c", fingerprint=2)
     crash(table, "a", fingerprint=3)
-    table.note_whole(3, NOW)
-    table.forget(NOW + CLEARED_SECONDS)
+    table.record_success(3, NOW)
+    table.expire(NOW + CLEARED_SECONDS)
     assert [s.fingerprint for s in table.suspects] == [1, 2]
-    table.forget(NOW + SUSPECT_SECONDS)
+    table.expire(NOW + SUSPECT_SECONDS)
     assert [s.fingerprint for s in table.suspects] == [2]
-    assert [s.fingerprint for s in table.forget(NOW + KEEP_SECONDS)] == [2]
+    assert [s.fingerprint for s in table.expire(NOW + KEEP_SECONDS)] == [2]
     assert table.digest == 0
 
 
@@ -231,7 +231,7 @@
         crash(table, "a", fingerprint=number)
     assert len(table) == TABLE_LIMIT
     assert table.is_blocked(1)
-    assert not table.crashes(2)
+    assert not table.crash_count(2)
 
 
 def test_a_router_that_starts_is_told_all_in_time(table):
@@ -239,7 +239,7 @@
         crash(table, "a", fingerprint=number)
     other = SuspectTable("there")
     for _question in range(20):
-        rows = table.some_rows(NOW)
+        rows = table.next_rows(NOW)
         assert len(rows) <= 2 * NEWEST_LIMIT
         for row in rows:
             other.merge(row, NOW)
@@ -262,7 +262,7 @@
 
 
 def placed(table, runs, states, fingerprint=PRINT):
-    chosen = place(states, fingerprint, table.crashes, runs, NOW)
+    chosen = select_isolated(states, fingerprint, table.crash_count, runs, NOW)
     return [one.record.id for one in chosen]
 
 
@@ -272,8 +272,8 @@
     crash(table, "a", fingerprint=1)
     crash(table, "a", "b", fingerprint=2)
     crash(table, "a")
-    runs.begin(1, "u1", "there", NOW + 5)
-    runs.begin(2, "u2", "there", NOW + 5)
+    runs.add(1, "u1", "there", NOW + 5)
+    runs.add(2, "u2", "there", NOW + 5)
     assert placed(table, runs, states) == ["u3"]
     # Beside the one that less speaks against, if it must be.
     assert placed(table, runs, states[:2]) == ["u1"]
@@ -283,8 +283,8 @@
     runs = SuspectRuns()
     crash(table, "a")
     crash(table, "a", "b", fingerprint=2)
-    runs.begin(PRINT, "u1", "there", NOW + 5)
-    runs.begin(2, "u2", "there", NOW + 5)
+    runs.add(PRINT, "u1", "there", NOW + 5)
+    runs.add(2, "u2", "there", NOW + 5)
     assert placed(table, runs, [state("u1"), state("u2")]) == ["u2"]
 
 
@@ -301,25 +301,25 @@
     runs = SuspectRuns()
     states = [state("u1"), state("u2")]
     crash(table, "a", "b", fingerprint=2)
-    runs.begin(2, "u1", "there", NOW + 5)
+    runs.add(2, "u1", "there", NOW + 5)
     assert placed(table, runs, states) == ["u2"]
     assert placed(table, runs, states[:1]) == ["u1"]
 
 
 def test_a_run_whose_end_was_not_heard_counts_until_its_deadline():
     runs = SuspectRuns()
-    runs.begin(1, "u1", "there", NOW + 5)
-    runs.begin(1, "u2", "here", NOW + 9)
+    runs.add(1, "u1", "there", NOW + 5)
+    runs.add(1, "u2", "here", NOW + 9)
     assert runs.count(1, NOW) == 2
-    assert runs.end(1, "u2", "here")
-    assert not runs.end(1, "u2", "here")
-    assert runs.at("u1", NOW) == [1]
+    assert runs.remove(1, "u2", "here")
+    assert not runs.remove(1, "u2", "here")
+    assert runs.fingerprints_at("u1", NOW) == [1]
     assert runs.count(1, NOW + 5) == 0
-    runs.forget(NOW + 5)
+    runs.expire(NOW + 5)
     assert not len(runs)
 
 
-# Flights
+# Requests in flight
 
 
 class Job:
@@ -330,27 +330,27 @@
 
 
 def test_what_runs_at_an_upstream_is_known_until_it_ends():
-    flights = Flights()
+    sends = InFlightSends()
     run = state("u1").record.run
-    first = flights.begin(Job(1), run, NOW)
-    second = flights.begin(Job(2), run, NOW)
-    third = flights.begin(Job(3), run, NOW)
-    flights.finish(first)
-    flights.finish(first)
-    flights.end(second, NOW + 1)
-    assert flights.first_end("u1") == NOW + 1
-    assert flights.ended_runs(2) == ["u1"]
-    assert flights.of(3) == [third]
-    assert flights.take_all("u1") == [second, third]
-    assert not flights.ended_runs(2)
+    first = sends.add(Job(1), run, NOW)
+    second = sends.add(Job(2), run, NOW)
+    third = sends.add(Job(3), run, NOW)
+    sends.remove(first)
+    sends.remove(first)
+    sends.mark_ended(second, NOW + 1)
+    assert sends.first_ended_at("u1") == NOW + 1
+    assert sends.runs_that_ended(2) == ["u1"]
+    assert sends.sends_of(3) == [third]
+    assert sends.pop_all("u1") == [second, third]
+    assert not sends.runs_that_ended(2)
 
 
 def test_what_ended_long_ago_says_nothing_of_a_crash():
-    flights = Flights()
+    sends = InFlightSends()
     run = state("u1").record.run
-    flights.end(flights.begin(Job(1), run, NOW), NOW)
-    flights.end(flights.begin(Job(2), run, NOW), NOW + 10)
-    assert [f.job.fingerprint for f in flights.take_all("u1")] == [2]
+    sends.mark_ended(sends.add(Job(1), run, NOW), NOW)
+    sends.mark_ended(sends.add(Job(2), run, NOW), NOW + 10)
+    assert [f.job.fingerprint for f in sends.pop_all("u1")] == [2]
 
 
 # The record
