--- a/rowanport/gateway/daemon.py
+++ b/rowanport/gateway/daemon.py
@@ -40,7 +40,7 @@
 from .pool import UpstreamPool
 from .prefix_map import PrefixMap
 from .refusals import Refusals
-from .retries import RetryWindow
+from .retry_window import RetryWindow
 from .settings import split_address
 from .stopping import Stopping
 from .views import Views
--- a/rowanport/gateway/forwarder.py
+++ b/rowanport/gateway/forwarder.py
@@ -5,8 +5,8 @@
 from ..errors import ErrorKind
 from ..errors import RequestError
 from .decisions import DecisionLog
-from .refusals import late_error
-from .repeats import Repeats
+from .refusals import timeout_error
+from .retry_policy import RetryPolicy
 from .sending import Sending
 
 
@@ -20,7 +20,7 @@
         self._gateway = gateway
         self._clock = gateway.clock
         self._log = DecisionLog(gateway.metrics, gateway.clock)
-        self._repeats = Repeats(gateway)
+        self._repeats = RetryPolicy(gateway)
         self._refusals = gateway.refusals
         self._stopping = gateway.stopping
         self._crashes = gateway.crashes
@@ -65,7 +65,7 @@
             self._crashes.check(job)
         except RequestError as error:
             return error
-        return self._stopping.error_at_cut(job) or late_error(job)
+        return self._stopping.error_at_cut(job) or timeout_error(job)
 
     def end(self, job):
         """End a job under way, whose request is refused from now on."""
@@ -101,7 +101,7 @@
         # What is blocked stays so, whatever else is known meanwhile.
         self._crashes.check(job)
         gateway.views.standing.check()
-        gateway.retries(job.service).note_request(now)
+        gateway.retries(job.service).record_request(now)
         if gateway.congestion.should_refuse(job.request):
             raise RequestError(
                 ErrorKind.OVERLOADED, "the router's own link is congested"
--- a/rowanport/gateway/refusals.py
+++ b/rowanport/gateway/refusals.py
@@ -51,7 +51,7 @@
         return max(0.0, seconds)
 
 
-def late_error(job):
+def timeout_error(job):
     """Return the RequestError of a job whose time is over."""
     if job.runs:
         return RequestError(ErrorKind.DEADLINE_PASSED, "the time is over")
--- a/rowanport/gateway/repeats.py
+++ b/rowanport/gateway/retry_policy.py
@@ -11,11 +11,11 @@
 CONNECT_LIMIT = 6
 
 
-class RepeatRefused(RowanportError):
+class RetryRefused(RowanportError):
     """A request may not be sent once more; the text says why."""
 
 
-class Repeats:
+class RetryPolicy:
     """Whether Jobs may be sent once more.
 
     :param gateway: the Gateway, for its parts
@@ -24,51 +24,51 @@
     def __init__(self, gateway):
         self._gateway = gateway
 
-    def can_run_again(self, job, responder):
+    def may_retry(self, job, responder):
         """Return whether a job's route lets it run once more."""
         route = job.route
         if not route.repeatable or job.runs >= route.max_sends:
             return False
         return route.resumable or not responder.started
 
-    def take_beside(self, job, responder):
+    def reserve_hedge(self, job, responder):
         """Take what a run beside a silent one needs.
 
         Both together may make more than the request's most: all that the
         silent one has not made yet is set aside a second time.
 
         :returns: the tokens set aside
-        :raises RepeatRefused: it is not allowed now; nothing was taken
+        :raises RetryRefused: it is not allowed now; nothing was taken
         """
-        self._check_beside(job, responder)
+        self._check_hedge(job, responder)
         tokens = job.unmade if job.budget is not None else 0
         if tokens:
             if not self._gateway.budgets.reserve_now(job.budget, tokens):
-                raise RepeatRefused("no tokens for a second run")
+                raise RetryRefused("no tokens for a second run")
             job.reserved += tokens
-        self._take_allowance(job)
+        self._acquire_retry(job)
         return tokens
 
-    def _check_beside(self, job, responder):
+    def _check_hedge(self, job, responder):
         """Raise RepeatRefused unless all but tokens allows one more run."""
         gateway = self._gateway
         now = gateway.clock.steady()
-        if not self.can_run_again(job, responder):
-            raise RepeatRefused("no send is left")
+        if not self.may_retry(job, responder):
+            raise RetryRefused("no send is left")
         if gateway.crashes.is_suspect(job):
-            raise RepeatRefused("an upstream crashed under it")
+            raise RetryRefused("an upstream crashed under it")
         if self._is_rejected_too_often(job):
-            raise RepeatRefused("rejected too often")
+            raise RetryRefused("rejected too often")
         if gateway.views.standing.old:
-            raise RepeatRefused("the list of upstreams is old")
+            raise RetryRefused("the list of upstreams is old")
         if not gateway.stopping.may_send(job):
-            raise RepeatRefused("too late for a send")
-        if not self.candidates_beside(job):
-            raise RepeatRefused("no upstream is left")
+            raise RetryRefused("too late for a send")
+        if not self.hedge_candidates(job):
+            raise RetryRefused("no upstream is left")
         if not self._window(job).allows(self._routers, now):
-            raise RepeatRefused("no allowance for a repeat")
+            raise RetryRefused("no allowance for a repeat")
 
-    def candidates_beside(self, job):
+    def hedge_candidates(self, job):
         """Return the UpstreamStates that may run a job beside a silent one.
 
         Upstreams that name a rate limit are left to first sends.
@@ -78,19 +78,19 @@
         candidates = gateway.pool.candidates(job.service, job.tried, now)
         return gateway.limits.unlimited(candidates)
 
-    def give_back(self, job, tokens):
+    def release_hedge(self, job, tokens):
         """Give back what was set aside for a run that was none."""
         if tokens:
             self._gateway.budgets.settle(job.budget, tokens, 0)
             job.reserved -= tokens
 
-    def check_again(self, job, responder, error):
+    def check_retry(self, job, responder, error):
         """Raise RequestError unless a job may be sent again after a failure.
 
         :param error: the UpstreamError of its last send
         """
         if not self._may_follow(job, responder, error):
-            raise give_up(job, error) from None
+            raise final_error(job, error) from None
 
     def _may_follow(self, job, responder, error):
         if self._is_rejected_too_often(job):
@@ -98,9 +98,9 @@
         if not error.started and not isinstance(error, NotExecuted):
             # Without a connection it cost the upstreams nothing.
             return True
-        if error.started and not self.can_run_again(job, responder):
+        if error.started and not self.may_retry(job, responder):
             return False
-        return self._take_allowance(job)
+        return self._acquire_retry(job)
 
     def _is_rejected_too_often(self, job):
         return (
@@ -115,13 +115,13 @@
     def _window(self, job):
         return self._gateway.retries(job.service)
 
-    def _take_allowance(self, job):
+    def _acquire_retry(self, job):
         """Return whether the fleet's budget has room for one more send."""
         now = self._gateway.clock.steady()
-        return self._window(job).take(self._routers, now)
+        return self._window(job).acquire(self._routers, now)
 
 
-def give_up(job, error):
+def final_error(job, error):
     """Return the RequestError that ends a job after an UpstreamError."""
     if job.runs:
         return RequestError(ErrorKind.UPSTREAM_FAILED, str(error))
--- a/rowanport/gateway/retries.py
+++ b/rowanport/gateway/retry_window.py
@@ -22,7 +22,7 @@
         self._requests = collections.deque()
         self._sends = collections.deque()
 
-    def note_request(self, now):
+    def record_request(self, now):
         """Count a request for the service."""
         self._requests.append(now)
         self._trim(self._requests, now)
@@ -37,7 +37,7 @@
         allowed = self._slack / routers + self._ratio * len(self._requests)
         return len(self._sends) + 1 <= CAUTION * allowed
 
-    def take(self, routers, now):
+    def acquire(self, routers, now):
         """Return whether a request may be sent once more, and count it.
 
         :param routers: number of live routers, which share the slack
--- a/rowanport/gateway/sending.py
+++ b/rowanport/gateway/sending.py
@@ -13,8 +13,8 @@
 from .relay import EventRelay
 from .relay import is_stream
 from .relay import WholeRelay
-from .repeats import give_up
-from .repeats import RepeatRefused
+from .retry_policy import final_error
+from .retry_policy import RetryRefused
 
 # Part of the remaining time after which a repeatable request that has no
 # answer is sent to another upstream as well.
@@ -34,7 +34,7 @@
 
     :param gateway: the Gateway, for its parts
     :param log: the DecisionLog
-    :param repeats: the Repeats
+    :param repeats: the RetryPolicy
     :param job: the Job
     :param responder: the Responder of its caller
     """
@@ -80,7 +80,7 @@
             return attempt
         except UpstreamError as error:
             self._drop(attempt, error)
-            self._repeats.check_again(self._job, self._responder, error)
+            self._repeats.check_retry(self._job, self._responder, error)
             return await self._begin_admitted()
 
     async def _advances(self, attempt):
@@ -109,7 +109,7 @@
 
     @property
     def _can_run_again(self):
-        return self._repeats.can_run_again(self._job, self._responder)
+        return self._repeats.may_retry(self._job, self._responder)
 
     # Sends
 
@@ -158,14 +158,14 @@
             return self._gateway.limits.with_permits(candidates, now)
         except RequestError as error:
             if self._job.runs:
-                raise give_up(self._job, UpstreamError(error.detail))
+                raise final_error(self._job, UpstreamError(error.detail))
             raise
 
     def _choose_among(self, candidates):
         gateway, job = self._gateway, self._job
         now = self._clock.steady()
         if not candidates:
-            raise give_up(job, UpstreamError("no upstream is left"))
+            raise final_error(job, UpstreamError("no upstream is left"))
         choice = gateway.choice(job.tokens is not None)
         if not job.sends:
             self._check_in_time(choice, candidates, now)
@@ -239,7 +239,7 @@
         job.tried.add(state.record.run)
         if not error.started:
             job.runs -= 1
-            self._repeats.give_back(job, attempt.tokens)
+            self._repeats.release_hedge(job, attempt.tokens)
         if isinstance(error, UpstreamLeft):
             job.sends -= 1
             self._log.note_send(job, state, "left", error)
@@ -330,12 +330,12 @@
         job = self._job
         job.tried.add(silent.state.record.run)
         try:
-            tokens = self._repeats.take_beside(job, self._responder)
-        except RepeatRefused as refusal:
+            tokens = self._repeats.reserve_hedge(job, self._responder)
+        except RetryRefused as refusal:
             self._note_silence(silent, str(refusal))
             silent.silent_at = self._clock.steady() + ASK_AGAIN
             return None
-        state = self._choose_among(self._repeats.candidates_beside(job))
+        state = self._choose_among(self._repeats.hedge_candidates(job))
         other = self._begin(state)
         other.tokens = tokens
         name = other.state.record.id
--- a/soak/broken.py
+++ b/soak/broken.py
@@ -63,13 +63,13 @@
     def apply(self):
         from rowanport.errors import ErrorKind
         from rowanport.errors import RequestError
-        from rowanport.gateway import repeats
+        from rowanport.gateway import retry_policy
         from rowanport.gateway import sending
 
-        def give_up(job, error):
+        def final_error(job, error):
             return RequestError(ErrorKind.UPSTREAM_REFUSED, str(error))
 
-        repeats.give_up = sending.give_up = give_up
+        retry_policy.final_error = sending.final_error = final_error
 
 
 class RunsAgain(Variant):
@@ -78,9 +78,9 @@
     promise = "at_most_once"
 
     def apply(self):
-        from rowanport.gateway.repeats import Repeats
+        from rowanport.gateway.retry_policy import RetryPolicy
 
-        Repeats.check_again = lambda self, *_arguments: None
+        RetryPolicy.check_retry = lambda self, *_arguments: None
 
 
 class ForgetsKey(Variant):
