--- a/rowanport/gateway/job.py
+++ b/rowanport/gateway/job.py
@@ -215,7 +215,7 @@
         return job
 
     def _identify(self, job, table):
-        if job.route.public or not table.keyed:
+        if job.route.public or not table.requires_keys:
             return
         key = job.request.header(self._dialect.key)
         job.organisation = table.find_organisation(key)
--- a/rowanport/gateway/race.py
+++ b/rowanport/gateway/race.py
@@ -22,7 +22,7 @@
     """
 
     def __init__(self, first, second, responder, clock, ask, drop):
-        self._racers = [first, second]
+        self._attempts = [first, second]
         self._responder = responder
         self._clock = clock
         self._ask = ask
@@ -31,14 +31,14 @@
         self._proofs = {}
 
     @property
-    def racers(self):
+    def attempts(self):
         """Return the Attempts that have not failed."""
-        return list(self._racers)
+        return list(self._attempts)
 
     @property
     def _proved(self):
         """Return the latest Attempt that goes on, None if none does."""
-        for attempt in reversed(self._racers):
+        for attempt in reversed(self._attempts):
             if attempt.proved:
                 return attempt
         return None
@@ -50,7 +50,7 @@
         A stream that has begun elsewhere runs there: its earlier run must
         end, even if it goes on after all.
         """
-        for attempt in reversed(self._racers):
+        for attempt in reversed(self._attempts):
             if attempt.proved:
                 return attempt
             if attempt.begun and is_stream(attempt.answer):
@@ -64,7 +64,7 @@
         who waits for it hears of that.
         """
         try:
-            while len(self._racers) > 1:
+            while len(self._attempts) > 1:
                 news = await self._wait_for_news()
                 self._drop_failed()
                 winner = self._winner if news else self._proved
@@ -72,7 +72,7 @@
                     return winner
         finally:
             await _end(self._proofs.values())
-        return self._racers[0]
+        return self._attempts[0]
 
     async def _wait_for_news(self):
         """Wait until an Attempt goes on or fails; return whether one did.
@@ -89,13 +89,13 @@
         if done:
             return True
         if self._proved is None:
-            other = self._ask(self._racers[-1])
+            other = self._ask(self._attempts[-1])
             if other is not None:
-                self._racers.append(other)
+                self._attempts.append(other)
         return False
 
     def _start_proofs(self):
-        for attempt in self._racers:
+        for attempt in self._attempts:
             if attempt not in self._proofs:
                 proof = asyncio.ensure_future(attempt.prove())
                 self._proofs[attempt] = proof
@@ -104,18 +104,18 @@
         """Return the seconds to wait for news, None for any."""
         if self._proved is not None:
             return OVERLAP
-        silent_at = self._racers[-1].silent_at
+        silent_at = self._attempts[-1].silent_at
         if silent_at is None:
             return None
         return max(0.0, silent_at - self._clock.steady())
 
     def _drop_failed(self):
         """Take out the Attempts that failed, but for the last one."""
-        for attempt in list(self._racers):
+        for attempt in list(self._attempts):
             error = self._error_of(attempt)
-            if error is not None and len(self._racers) > 1:
+            if error is not None and len(self._attempts) > 1:
                 self._drop(attempt, error)
-                self._racers.remove(attempt)
+                self._attempts.remove(attempt)
 
     def _error_of(self, attempt):
         """Return why an Attempt is of no use, None if it may be."""
--- a/rowanport/gateway/sending.py
+++ b/rowanport/gateway/sending.py
@@ -314,7 +314,7 @@
             self._drop,
         )
         winner = await race.run()
-        self._close_losers(race.racers, winner)
+        self._close_losers(race.attempts, winner)
         self._job.upstream = winner.state.record.id
         if winner.proved:
             self._note_sign(winner)
--- a/rowanport/routing/table.py
+++ b/rowanport/routing/table.py
@@ -177,7 +177,7 @@
             by_prefix[route.prefix] = route
 
     @property
-    def keyed(self):
+    def requires_keys(self):
         """Return whether requests carry a key, unless a route is public."""
         return bool(self.organisations)
 
--- a/soak/broken.py
+++ b/soak/broken.py
@@ -314,7 +314,7 @@
     theme = "lethal"
 
     def apply(self):
-        from rowanport.gateway.crashes import CrashGuard
+        from rowanport.gateway.crash_guard import CrashGuard
         from rowanport.suspects import table
 
         async def is_gone(self, name, address):
@@ -332,7 +332,7 @@
     theme = "limits"
 
     def apply(self):
-        from rowanport.gateway.limits import RateLimits
+        from rowanport.gateway.rate_limits import RateLimits
 
         RateLimits.record_answer = lambda *_arguments: None
 
