--- a/test/test_loop_heartbeats.py
+++ b/test/test_loop_heartbeats.py
@@ -16,7 +16,7 @@
 from structlog.testing import capture_logs
 
 from rowanport import supervision
-from rowanport.gateway import crashes
+from rowanport.gateway import crash_guard
 from rowanport.gateway import views
 from rowanport.platform import directory
 from rowanport.supervision import beat
@@ -135,7 +135,7 @@
     modules = {
         "views": views,
         "RouterDirectory": directory,
-        "suspects": crashes,
+        "suspects": crash_guard,
     }
     if name in modules:
         asleep = types.SimpleNamespace(sleep=hang, Event=asyncio.Event)
