--- a/rowanport/gateway/job.py
+++ b/rowanport/gateway/job.py
@@ -208,14 +208,14 @@
         job.config = table.version
         self._identify(job, table)
         organisation = job.organisation.name if job.organisation else ""
-        job.fingerprint = self._fingerprints.of(request, organisation)
+        job.fingerprint = self._fingerprints.compute(request, organisation)
         self._read_deadline(job, now)
         self._read_tokens(job, table)
         self._read_affinity(job)
         return job
 
     def _identify(self, job, table):
-        if job.route.public or not table.keyed:
+        if job.route.public or not table.requires_keys:
             return
         key = job.request.header(self._dialect.key)
         job.organisation = table.find_organisation(key)
--- a/rowanport/gateway/views.py
+++ b/rowanport/gateway/views.py
@@ -57,14 +57,14 @@
     :param address: this router's peer address
     :param clock: a Clock
     :param clocks: the FleetClocks, which learn from each exchange
-    :param congestion: the Congestion, which does, too
+    :param congestion: the CongestionDetector, which does, too
     :ivar standing: the ViewStanding, which tells how far they may be trusted
     :ivar on_answer: function that is called after each answer of a peer, or
         None
     :ivar tell: function of a peer's address and a message that sends the
         message on a connection that the peer has open
-    :ivar loads: the LoadNotes that ask and answer along with it, or None
-    :ivar crashes: the CrashNews that do, too, or None
+    :ivar loads: the LoadSync that asks and answers along with it, or None
+    :ivar crashes: the SuspectSync that does, too, or None
     :ivar limits: the RateLimits that do, too, or None
     """
 
@@ -210,11 +210,11 @@
         )
         if self.loads is not None:
             seconds = message.recent / 1000
-            give.notes = self.loads.heard(seconds, message.asker)
+            give.notes = self.loads.recent(seconds, message.asker)
         if self.crashes is not None:
-            give.suspects = self.crashes.answer_news(message.suspects)
+            give.suspects = self.crashes.answer_poll(message.suspects)
         if self.limits is not None:
-            self.limits.hear(message.limits, message.asker)
+            self.limits.merge(message.limits, message.asker)
             give.limits = self.limits.rows()
         self._give_news(message, give)
         return give
@@ -324,14 +324,14 @@
         :param timeout: longest wait in seconds
         """
         has = NO_LIST if self._list_wanted else self.upstreams.version
-        seconds = self.loads.begin_asking() if self.loads else 0.0
+        seconds = self.loads.advance_poll_window() if self.loads else 0.0
         ask = ViewAsk(
             self._version,
             has[0],
             self._address,
             self._clock.wall(),
             round(1000 * seconds),
-            self.crashes.ask_news() if self.crashes else SuspectNews(0, []),
+            self.crashes.build_poll() if self.crashes else SuspectNews(0, []),
             self.limits.rows() if self.limits else [],
             has[1],
         )
@@ -343,7 +343,7 @@
             )
         except PeerError as error:
             LOG.debug("views_unread", peer=address, error=str(error))
-            self._congestion.note_unanswered(self._clock.steady() - asked_at)
+            self._congestion.record_timeout(self._clock.steady() - asked_at)
             return
         finally:
             self._asked[address] -= 1
@@ -353,14 +353,14 @@
             asked_at, give.store_age / 1000, give.steady / 10
         )
         # Without the time in which a silent connection was found out.
-        self._congestion.note_round_trip(self._peers.last_trip(address))
+        self._congestion.record_round_trip(self._peers.last_trip(address))
         self._clocks.observe(address, give.wall)
         for note in give.notes:
-            self.loads.take(note)
+            self.loads.apply(note)
         if self.crashes is not None:
-            self.crashes.take_answer(give.suspects)
+            self.crashes.receive_answer(give.suspects)
         if self.limits is not None:
-            self.limits.hear(give.limits, address)
+            self.limits.merge(give.limits, address)
         if give.config_data:
             self._take_packed_config(give.config_data, address)
         if give.upstream_data:
--- a/soak/broken.py
+++ b/soak/broken.py
@@ -63,13 +63,13 @@
     def apply(self):
         from rowanport.errors import ErrorKind
         from rowanport.errors import RequestError
-        from rowanport.gateway import repeats
+        from rowanport.gateway import retry_policy
         from rowanport.gateway import sending
 
-        def give_up(job, error):
+        def final_error(job, error):
             return RequestError(ErrorKind.UPSTREAM_REFUSED, str(error))
 
-        repeats.give_up = sending.give_up = give_up
+        retry_policy.final_error = sending.final_error = final_error
 
 
 class RunsAgain(Variant):
@@ -78,9 +78,9 @@
     promise = "at_most_once"
 
     def apply(self):
-        from rowanport.gateway.repeats import Repeats
+        from rowanport.gateway.retry_policy import RetryPolicy
 
-        Repeats.check_again = lambda self, *_arguments: None
+        RetryPolicy.check_retry = lambda self, *_arguments: None
 
 
 class ForgetsKey(Variant):
@@ -304,7 +304,7 @@
     def apply(self):
         from rowanport.suspects import SuspectTable
 
-        SuspectTable.note_crash = lambda *_arguments: None
+        SuspectTable.record_crash = lambda *_arguments: None
 
 
 class BlamesAll(Variant):
@@ -314,14 +314,14 @@
     theme = "lethal"
 
     def apply(self):
-        from rowanport.gateway.crashes import CrashGuard
+        from rowanport.gateway.crash_guard import CrashGuard
         from rowanport.suspects import table
 
         async def is_gone(self, name, address):
             return True
 
         CrashGuard._is_gone = is_gone
-        table.BLOCK_CRASHES = 1
+        table.BLOCK_THRESHOLD = 1
         table.STORM_REQUESTS = 1000
 
 
@@ -332,9 +332,9 @@
     theme = "limits"
 
     def apply(self):
-        from rowanport.gateway.limits import RateLimits
+        from rowanport.gateway.rate_limits import RateLimits
 
-        RateLimits.note_answer = lambda *_arguments: None
+        RateLimits.record_answer = lambda *_arguments: None
 
 
 class Ends(Variant):
