--- a/rowanport/gateway/choice.py
+++ b/rowanport/gateway/choice.py
@@ -72,12 +72,12 @@
 
     def late_start(self, candidates, job, now):
         overload = self._overloads.setdefault(job.service, Overload())
-        waits = [state.delay(now) for state in candidates]
+        waits = [state.start_delay(now) for state in candidates]
         objective = job.route.objective
         return overload.late_start(waits, objective, job.priority, now)
 
     def choose(self, candidates, job, now):
-        if job.shared < SHARED_LEAST:
+        if job.shared_tokens < SHARED_LEAST:
             state = self._choose_short(candidates, job, now)
         else:
             state = self._choose_long(candidates, job, now)
@@ -104,7 +104,7 @@
     def uncached_tokens(self, state, job, now):
         """Return the prompt tokens that an engine has to read of a job."""
         if state.record.id in self._prefixes.engines_with(job.prefix, now):
-            return job.tokens.prompt - job.shared
+            return job.tokens.prompt - job.shared_tokens
         return job.tokens.prompt
 
     def _fewest_pauses(self, candidates, now):
@@ -141,7 +141,8 @@
         return [
             state
             for state in candidates
-            if state.wait(self.uncached_tokens(state, job, now), now) <= limit
+            if state.expected_wait(self.uncached_tokens(state, job, now), now)
+            <= limit
         ]
 
     def _soonest(self, candidates, job, now):
@@ -155,7 +156,7 @@
             unread = self.uncached_tokens(state, job, now)
             if rank == 0:
                 unread -= presumed
-            return int(state.wait(unread, now) / ALIKE_SECONDS), rank
+            return int(state.expected_wait(unread, now) / ALIKE_SECONDS), rank
 
         return by_id[order[min(range(len(order)), key=weight)]]
 
@@ -163,7 +164,7 @@
         """Return the tokens that the first engine may have cached unheard."""
         if self._prefixes.engines_with(job.prefix, now):
             return 0
-        return int(PRESUMED_SHARE * job.shared)
+        return int(PRESUMED_SHARE * job.shared_tokens)
 
 
 class NearestChoice(Choice):
--- a/rowanport/gateway/daemon.py
+++ b/rowanport/gateway/daemon.py
@@ -30,7 +30,6 @@
 from .crash_guard import CrashGuard
 from .exchange import Exchange
 from .fingerprint import Fingerprints
-from .followers import listeners
 from .forwarder import Forwarder
 from .health import HealthFront
 from .job import Admission
@@ -43,6 +42,7 @@
 from .retry_window import RetryWindow
 from .settings import split_address
 from .stopping import Stopping
+from .store_watchers import update_recipients
 from .views import Views
 
 LOG = structlog.get_logger(__name__)
@@ -131,8 +131,8 @@
             clocks,
             self.congestion,
         )
-        self._views.on_table = self._take_table
-        self._views.on_upstreams = self._take_upstreams
+        self._views.on_table = self._apply_table
+        self._views.on_upstreams = self._apply_upstreams
         self._views.tell = self._peer_server.tell
         self._peers.on_told = self._hear_told
         self.budgets = BudgetKeeper(
@@ -149,7 +149,9 @@
         # What silenced a connection to a peer may have silenced those to
         # upstreams: a request on one would wait for its time-out.
         self._peers.on_silence = self.client.doubt
-        told = functools.partial(listeners, self.members, settings.peers)
+        told = functools.partial(
+            update_recipients, self.members, settings.peers
+        )
         self.limits = self._views.limits = RateLimits(
             self._peers,
             self.members,
@@ -227,7 +229,7 @@
 
         Without one of its loops a router serves by what gets ever older.
         """
-        if self._loops.failing or self._views.standing.old:
+        if self._loops.failing or self._views.freshness.stale:
             return False
         return self.members.own_entry.state == READY
 
@@ -253,7 +255,7 @@
             )
         return window
 
-    def _take_table(self, table):
+    def _apply_table(self, table):
         limits = table.limits
         self._limits.head = limits.head
         self._limits.body = limits.body
@@ -267,7 +269,7 @@
         }
         self.budgets.set_totals(totals, table.version)
 
-    def _take_upstreams(self, upstreams):
+    def _apply_upstreams(self, upstreams):
         for name in self.pool.update(upstreams.upstreams):
             self._prefixes.remove_engine(name)
             LOG.info("upstream_restarted", upstream=name)
@@ -342,18 +344,18 @@
 
     async def _ask_seeds(self):
         """Ask the seeds for views until there are some."""
-        while not self._known and self.settings.seeds:
+        while not self._has_initial_views and self.settings.seeds:
             for address in self.settings.seeds:
                 if address != self.settings.peers:
                     await self._views.ask(address, SEED_TIMEOUT)
             await asyncio.sleep(SEED_PAUSE)
 
     @property
-    def _known(self):
+    def _has_initial_views(self):
         return self.table is not None and self.upstreams.revision > 0
 
     async def _become_ready(self):
-        while not self._known:
+        while not self._has_initial_views:
             await asyncio.sleep(READY_POLL)
         if not self.stopping.begun:
             self.members.set_state(READY)
--- a/rowanport/gateway/forwarder.py
+++ b/rowanport/gateway/forwarder.py
@@ -7,7 +7,7 @@
 from .decisions import DecisionLog
 from .refusals import timeout_error
 from .retry_policy import RetryPolicy
-from .sending import Sending
+from .sender import JobSender
 
 
 class Forwarder:
@@ -56,7 +56,7 @@
             return gateway.admission.admit(request, gateway.table, arrived)
         except RequestError:
             # A configuration that is not known here may allow it.
-            gateway.views.standing.check()
+            gateway.views.freshness.check()
             raise
 
     def _error_at_end(self, job):
@@ -100,7 +100,7 @@
         now = self._clock.steady()
         # What is blocked stays so, whatever else is known meanwhile.
         self._crashes.check(job)
-        gateway.views.standing.check()
+        gateway.views.freshness.check()
         gateway.retries(job.service).record_request(now)
         if gateway.congestion.should_refuse(job.request):
             raise RequestError(
@@ -118,10 +118,10 @@
 
     async def _send(self, job, responder):
         """Send a job to upstreams until it is answered."""
-        sending = Sending(
+        sender = JobSender(
             self._gateway, self._log, self._repeats, job, responder
         )
-        await sending.run()
+        await sender.run()
 
     async def _send_error(self, job, request, responder, error, arrived):
         self._note_end(job, error.kind.value, arrived, error.detail)
--- a/rowanport/gateway/freshness.py
+++ b/rowanport/gateway/freshness.py
@@ -21,13 +21,13 @@
 UNKNOWN_AGE = 10000.0
 
 
-class Standing(enum.Enum):
+class Freshness(enum.Enum):
     """How far a view may be trusted."""
 
     CONFIRMED = "confirmed"
     # Peers answer at once, and know nothing newer: the store is away.
-    NEWEST = "newest known"
-    OLD = "old"
+    LATEST_KNOWN = "newest known"
+    STALE = "old"
 
 
 class ViewAge:
@@ -47,7 +47,7 @@
         self.source = ""
         self.contact_at = -math.inf
 
-    def note_contact(self, sent_at):
+    def record_contact(self, sent_at):
         """Note that somebody answered what was sent at a time."""
         self.contact_at = max(self.contact_at, sent_at)
 
@@ -65,13 +65,13 @@
         """Return whether it is time to ask several peers at once."""
         return self.age(now) > AGING
 
-    def standing(self, now):
-        """Return the Standing of the view."""
+    def freshness(self, now):
+        """Return the Freshness of the view."""
         if self.age(now) <= AGE_LIMIT:
-            return Standing.CONFIRMED
+            return Freshness.CONFIRMED
         if now - self.contact_at <= CONTACT_LIMIT:
-            return Standing.NEWEST
-        return Standing.OLD
+            return Freshness.LATEST_KNOWN
+        return Freshness.STALE
 
 
 class WatchAge:
@@ -92,7 +92,7 @@
         self._until = -math.inf
         self._begun_at = None
 
-    def note_read(self, sent_at):
+    def record_read(self, sent_at):
         """Note that all was read, by a call sent at a time."""
         self._until = max(self._until, sent_at)
 
@@ -100,7 +100,7 @@
         """Note that a watch was sent."""
         self._begun_at = now
 
-    def end(self, contact_at):
+    def complete(self, contact_at):
         """Note that the watch was answered.
 
         :param contact_at: as in :meth:`known_until`
@@ -108,7 +108,7 @@
         self._until = max(self.known_until(contact_at), self._begun_at)
         self._begun_at = None
 
-    def lose(self, contact_at):
+    def abort(self, contact_at):
         """Note that the watch ended without an answer."""
         self._until = self.known_until(contact_at)
         self._begun_at = None
--- a/rowanport/gateway/retry_policy.py
+++ b/rowanport/gateway/retry_policy.py
@@ -41,7 +41,7 @@
         :raises RetryRefused: it is not allowed now; nothing was taken
         """
         self._check_hedge(job, responder)
-        tokens = job.unmade if job.budget is not None else 0
+        tokens = job.remaining_tokens if job.budget is not None else 0
         if tokens:
             if not self._gateway.budgets.try_reserve(job.budget, tokens):
                 raise RetryRefused("no tokens for a second run")
@@ -59,7 +59,7 @@
             raise RetryRefused("an upstream crashed under it")
         if self._is_rejected_too_often(job):
             raise RetryRefused("rejected too often")
-        if gateway.views.standing.old:
+        if gateway.views.freshness.stale:
             raise RetryRefused("the list of upstreams is old")
         if not gateway.stopping.may_send(job):
             raise RetryRefused("too late for a send")
