--- a/rowanport/claims/keeper.py
+++ b/rowanport/claims/keeper.py
@@ -50,18 +50,25 @@
 class ClaimKeeper:
     """Claims requests, as home of some shards and as entry.
 
-    :param allowance: an Allowance of store writes
+    :param write_limiter: the WriteLimiter of this router
     """
 
     def __init__(
-        self, incarnation, store, peers, members, settings, allowance, clock
+        self,
+        incarnation,
+        store,
+        peers,
+        members,
+        settings,
+        write_limiter,
+        clock,
     ):
         self._incarnation = incarnation
         self._store = store
         self._peers = peers
         self._members = members
         self._settings = settings
-        self._allowance = allowance
+        self._write_limiter = write_limiter
         self._clock = clock
         self._places = {}
         self._answers = {}
@@ -170,7 +177,9 @@
             return
         if now < place.next_write or not place.queue.dirty:
             return
-        if self._allowance.take(place.queue.waiting, self._clock.steady()):
+        if self._write_limiter.try_acquire(
+            place.queue.waiting, self._clock.steady()
+        ):
             place.next_write = now + self._settings.interval
             place.task = self._tasks.spawn(self._write(place))
 
--- a/rowanport/ledger/keeper.py
+++ b/rowanport/ledger/keeper.py
@@ -66,7 +66,7 @@
     :param members: the Membership, for homes and live routers
     :param book: this router's ReservationBook, to attest with
     :param settings: LedgerSettings
-    :param allowance: an Allowance of store writes
+    :param allowance: the WriteLimiter of this router
     :param clock: a Clock
     :param metrics: the Metrics
     :param resolve: coroutine function of a Reservation whose entry died,
@@ -92,7 +92,7 @@
         self._members = members
         self._book = book
         self._settings = settings
-        self._allowance = allowance
+        self._write_limiter = allowance
         self._clock = clock
         self._metrics = metrics
         self._sizing = Sizing(
@@ -352,7 +352,9 @@
         """Write a batch, however often others write in between."""
         holder = place.holder
         urgent = holder.waiting or batch.draws or batch.leaving
-        while not self._allowance.take(urgent, self._clock.steady()):
+        while not self._write_limiter.try_acquire(
+            urgent, self._clock.steady()
+        ):
             await asyncio.sleep(self._settings.urgent_interval)
         while holder.in_flight is batch:
             record = read_shard(Value(place.data, place.version))
--- a/rowanport/router/daemon.py
+++ b/rowanport/router/daemon.py
@@ -19,9 +19,9 @@
 from ..incarnation import new_incarnation
 from ..ledger import LedgerKeeper
 from ..ledger import ReservationBook
-from ..ledger.allowance import Allowance
 from ..ledger.client import LedgerClient
 from ..ledger.orphans import RunUnknown
+from ..ledger.write_limiter import WriteLimiter
 from ..membership import Membership
 from ..membership import MembershipLoop
 from ..membership.members import LEAVING
@@ -103,7 +103,7 @@
         self.directory = InstanceDirectory(
             self._http, platform.store, name, platform.call_timeout
         )
-        self._allowance = Allowance(platform.writes_per_second)
+        self._allowance = WriteLimiter(platform.writes_per_second)
 
     def _build_peers(self, settings):
         secret = settings.router.secret
@@ -360,7 +360,7 @@
         """Follow the number of live routers that share limits."""
         while True:
             count = len(self.members.live())
-            self._allowance.share(count)
+            self._allowance.set_router_count(count)
             self.metrics.live_routers.set({}, count)
             for group in self._groups.values():
                 group.pool.set_routers(count)
--- a/test/world.py
+++ b/test/world.py
@@ -22,12 +22,12 @@
 from rowanport.incarnation import incarnation_of
 from rowanport.ledger import LedgerKeeper
 from rowanport.ledger import ReservationBook
-from rowanport.ledger.allowance import Allowance
 from rowanport.ledger.client import LedgerClient
 from rowanport.ledger.editor import BudgetEditor
 from rowanport.ledger.keeper import read_shard
 from rowanport.ledger.keeper import shard_key
 from rowanport.ledger.orphans import RunUnknown
+from rowanport.ledger.write_limiter import WriteLimiter
 from rowanport.membership.members import READY
 from rowanport.metrics import Metrics
 from rowanport.schema.messages import Ack
@@ -234,7 +234,7 @@
             members,
             self.book,
             settings,
-            Allowance(1000.0),
+            WriteLimiter(1000.0),
             clock,
             METRICS,
             world.resolve,
