--- a/rowanport/ledger/account.py
+++ b/rowanport/ledger/account.py
@@ -30,7 +30,7 @@
         "since",
         "started_at",
         "orphaned_at",
-        "gone_at",
+        "router_ended_at",
     )
 
     def __init__(self, message, now):
@@ -44,7 +44,7 @@
         self.since = now
         self.started_at = None
         self.orphaned_at = None
-        self.gone_at = None
+        self.router_ended_at = None
 
     @property
     def router(self):
@@ -74,9 +74,9 @@
         "returning",
         "waiting",
         "demand",
-        "dry_until",
-        "ask",
-        "asked",
+        "exhausted_until",
+        "pending_ask",
+        "asked_lenders",
     )
 
     def __init__(self, name):
@@ -89,9 +89,9 @@
         self.returning = 0
         self.waiting = collections.OrderedDict()
         self.demand = DecayingRate(DEMAND_HALF_LIFE)
-        self.dry_until = 0.0
-        self.ask = None
-        self.asked = set()
+        self.exhausted_until = 0.0
+        self.pending_ask = None
+        self.asked_lenders = set()
 
     @property
     def available(self):
@@ -102,7 +102,7 @@
         return have - lent - reserved - self.unwritten - self.returning
 
     @property
-    def lacking(self):
+    def shortfall(self):
         """Return the tokens that waiting reservations lack."""
         wanted = sum(message.tokens for message in self.waiting.values())
         return max(0, wanted - max(0, self.available)) if wanted else 0
--- a/rowanport/ledger/bills.py
+++ b/rowanport/ledger/bills.py
@@ -47,12 +47,12 @@
         """
         self._bills[bill.reservation] = (bill, entry)
 
-    def written(self, bill):
+    def mark_written(self, bill):
         """Forget a bill that stands in the shard."""
         self._bills.pop(bill.reservation, None)
         self._written.append(bill.reservation)
 
-    def take_written(self):
+    def pop_written(self):
         """Return ids of reservations whose bills stand in the shard."""
         written = self._written
         self._written = []
--- a/rowanport/ledger/book.py
+++ b/rowanport/ledger/book.py
@@ -40,19 +40,21 @@
         "holder",
         "settlement",
         "witness",
-        "asked",
+        "asked_witnesses",
         "witnessed",
         "upstream",
         "usable",
         "since",
         "started_at",
         "orphaned_at",
-        "gone_at",
+        "router_ended_at",
     )
 
-    def __init__(self, request, reservation, budget, tokens, deadline, home):
+    def __init__(
+        self, request, reservation_id, budget, tokens, deadline, home
+    ):
         self.request = request
-        self.reservation = reservation
+        self.reservation = reservation_id
         self.budget = budget
         self.tokens = tokens
         self.deadline = deadline
@@ -60,14 +62,14 @@
         self.holder = ""
         self.settlement = None
         self.witness = None
-        self.asked = []
+        self.asked_witnesses = []
         self.witnessed = False
         self.upstream = ""
         self.usable = False
         self.since = 0.0
         self.started_at = None
         self.orphaned_at = None
-        self.gone_at = None
+        self.router_ended_at = None
 
     @property
     def router(self):
@@ -93,30 +95,30 @@
         self._incarnation = incarnation
         self._new_id = new_id
         self._open = {}
-        self._shunned = set()
+        self._fenced = set()
 
     def __len__(self):
         return len(self._open)
 
-    def __contains__(self, reservation):
-        return reservation in self._open
+    def __contains__(self, reservation_id):
+        return reservation_id in self._open
 
     def __iter__(self):
         return iter(list(self._open.values()))
 
-    def get(self, reservation):
+    def get(self, reservation_id):
         """Return the OpenReservation of an id."""
-        return self._open[reservation]
+        return self._open[reservation_id]
 
-    def ask(self, request, budget, tokens, deadline, home, waits_until):
+    def open(self, request, budget, tokens, deadline, home, waits_until):
         """Open a reservation and return the Reserve message to send."""
-        reservation = self._new_id()
-        self._open[reservation] = OpenReservation(
-            request, reservation, budget, tokens, deadline, home
+        reservation_id = self._new_id()
+        self._open[reservation_id] = OpenReservation(
+            request, reservation_id, budget, tokens, deadline, home
         )
         return Reserve(
             request,
-            reservation,
+            reservation_id,
             budget,
             tokens,
             deadline,
@@ -124,69 +126,73 @@
             waits_until,
         )
 
-    def reserved(self, answer):
+    def confirm(self, answer):
         """Take in a Reserved answer; return the reservation to use.
 
         :returns: None if it must not be used, because its holder was
             attested as dead or the reservation is closed already
         """
-        entry = self._open.get(answer.reservation)
-        if entry is None or entry.settlement is not None:
+        reservation = self._open.get(answer.reservation)
+        if reservation is None or reservation.settlement is not None:
             return None
-        if answer.holder in self._shunned:
+        if answer.holder in self._fenced:
             return None
-        entry.holder = answer.holder
-        return entry
+        reservation.holder = answer.holder
+        return reservation
 
-    def refused(self, reservation):
+    def reject(self, reservation_id):
         """Forget a reservation that its home refused."""
-        self._open.pop(reservation, None)
+        self._open.pop(reservation_id, None)
 
-    def start(self, reservation, upstream):
+    def set_upstream(self, reservation_id, upstream):
         """Return the message that tells the home where a run goes."""
-        entry = self._open[reservation]
-        entry.upstream = upstream
-        return Started(reservation, entry.budget, upstream)
+        reservation = self._open[reservation_id]
+        reservation.upstream = upstream
+        return Started(reservation_id, reservation.budget, upstream)
 
-    def started(self, message, now):
+    def record_start(self, message, now):
         """Note where a witnessed run goes; return whether it is known."""
-        entry = self._open.get(message.reservation)
-        if entry is None or not entry.witnessed or entry.settlement:
+        reservation = self._open.get(message.reservation)
+        if (
+            reservation is None
+            or not reservation.witnessed
+            or reservation.settlement
+        ):
             return False
-        entry.upstream = message.upstream
-        entry.started_at = now
+        reservation.upstream = message.upstream
+        reservation.started_at = now
         return True
 
-    def settle(self, reservation, run, tokens, expiry):
+    def settle(self, reservation_id, run, tokens, expiry):
         """Close a reservation and return the Settle message to send.
 
         It stays in the book until :meth:`written` says that it is safe.
         """
-        entry = self._open[reservation]
-        entry.settlement = Settle(
-            entry.request,
-            reservation,
+        reservation = self._open[reservation_id]
+        reservation.settlement = Settle(
+            reservation.request,
+            reservation_id,
             run,
-            entry.budget,
-            entry.holder,
+            reservation.budget,
+            reservation.holder,
             tokens,
             expiry,
         )
-        return entry.settlement
+        return reservation.settlement
 
-    def written(self, reservation):
+    def remove(self, reservation_id):
         """Forget a reservation whose bill stands in the shard."""
-        self._open.pop(reservation, None)
+        self._open.pop(reservation_id, None)
 
-    def witness(self, message, now):
+    def add_witnessed(self, message, now):
         """Remember a reservation that a home made for its own entry.
 
         :returns: False if its holder was attested as dead: it must not be
             used, as the attestation did not count it
         """
-        if message.holder in self._shunned:
+        if message.holder in self._fenced:
             return False
-        entry = OpenReservation(
+        reservation = OpenReservation(
             message.request,
             message.reservation,
             message.budget,
@@ -194,13 +200,13 @@
             message.deadline,
             message.holder,
         )
-        entry.holder = message.holder
-        entry.witnessed = True
-        entry.since = now
+        reservation.holder = message.holder
+        reservation.witnessed = True
+        reservation.since = now
         if message.upstream:
-            entry.upstream = message.upstream
-            entry.started_at = now
-        self._open[message.reservation] = entry
+            reservation.upstream = message.upstream
+            reservation.started_at = now
+        self._open[message.reservation] = reservation
         return True
 
     def orphans(self, is_alive):
@@ -209,27 +215,27 @@
         :param is_alive: function of a holder
         """
         orphans = []
-        for entry in self._open.values():
-            if not entry.witnessed or entry.settlement is not None:
+        for reservation in self._open.values():
+            if not reservation.witnessed or reservation.settlement is not None:
                 continue
-            if is_alive(entry.holder):
-                entry.orphaned_at = entry.gone_at = None
+            if is_alive(reservation.holder):
+                reservation.orphaned_at = reservation.router_ended_at = None
             else:
-                orphans.append(entry)
+                orphans.append(reservation)
         return orphans
 
-    def is_shunned(self, holder):
+    def is_fenced(self, holder):
         """Return whether a holder was attested as dead."""
-        return holder in self._shunned
+        return holder in self._fenced
 
     def attest(self, holder):
         """Return what a dead holder's grants still owe for this entry.
 
         From now on no reservation by that holder is used.
         """
-        self._shunned.add(holder)
+        self._fenced.add(holder)
         outstanding = collections.Counter()
-        for entry in self._open.values():
-            if entry.holder == holder:
-                outstanding[entry.budget] += entry.owed
+        for reservation in self._open.values():
+            if reservation.holder == holder:
+                outstanding[reservation.budget] += reservation.owed
         return outstanding
--- a/rowanport/ledger/client.py
+++ b/rowanport/ledger/client.py
@@ -15,18 +15,18 @@
 from ..tasks import TaskSet
 from .orphans import log_resolved
 from .orphans import OrphanResolver
-from .reserving import PROBE_AFTER
-from .reserving import PROBE_TIMEOUT
-from .reserving import Reserving
-from .unsettled import item_of_entry
-from .witnessing import Witnessing
+from .reserver import PROBE_AFTER
+from .reserver import PROBE_TIMEOUT
+from .reserver import Reserver
+from .unsettled import item_of_open_reservation
+from .witness_client import WitnessClient
 
 LOG = structlog.get_logger(__name__)
 SETTLE_TIMEOUT = 30.0
-SETTLE_PAUSE = 0.2
+SETTLE_RETRY_INTERVAL = 0.2
 # Seconds between two tries to tell a silent home of a release: a dead one is
 # not called in a loop.
-RELEASE_PAUSE = 1.0
+RELEASE_RETRY_INTERVAL = 1.0
 SHORT_TIMEOUT = 1.0
 # Seconds after which a home or witness that does not record a start is given
 # up, as one that answers no probe is.
@@ -66,10 +66,10 @@
         self._resolver = OrphanResolver(
             resolve, peers, members, settings.bill_memory, clock
         )
-        self._witnessing = Witnessing(
+        self._witness_client = WitnessClient(
             incarnation, keeper, book, peers, members
         )
-        self._reserving = Reserving(
+        self._reserver = Reserver(
             incarnation,
             keeper,
             book,
@@ -77,7 +77,7 @@
             members,
             settings,
             clock,
-            self._witnessing,
+            self._witness_client,
             self.release,
         )
         self._resolving = set()
@@ -88,11 +88,11 @@
 
     async def reserve(self, request, budget, tokens, deadline):
         """Set tokens aside; see :meth:`Reserving.reserve`."""
-        return await self._reserving.reserve(request, budget, tokens, deadline)
+        return await self._reserver.reserve(request, budget, tokens, deadline)
 
     # Running and settling
 
-    async def start(self, entry, upstream):
+    async def start(self, reservation, upstream):
         """Record where a run goes, before its first byte is sent.
 
         Who settles the reservation should this router die takes a run that
@@ -101,38 +101,38 @@
         :returns: False if it is not recorded: the run must not be sent, and
             the reservation is to be given back
         """
-        message = self._book.start(entry.reservation, upstream)
-        if not await self._record_start(entry, message):
+        message = self._book.set_upstream(reservation.reservation, upstream)
+        if not await self._record_start(reservation, message):
             return False
         LOG.info(
             "run_starts",
-            request=entry.request,
-            reservation=entry.reservation,
+            request=reservation.request,
+            reservation_id=reservation.reservation,
             upstream=upstream,
-            home=entry.home,
-            witness=entry.witness,
+            home=reservation.home,
+            witness=reservation.witness,
         )
         return True
 
-    async def _record_start(self, entry, message):
-        if entry.home != self._incarnation:
+    async def _record_start(self, reservation, message):
+        if reservation.home != self._incarnation:
             # Where its home was recovered, only this router remembers it, and
             # nobody else can give it back.
-            if self._book.is_shunned(entry.holder):
+            if self._book.is_fenced(reservation.holder):
                 return True
-            return await self._tell_start(entry.home, message)
+            return await self._send_start(reservation.home, message)
         await self._keeper.handle(message)
-        replacing = self._replacing.get(entry.reservation)
+        replacing = self._replacing.get(reservation.reservation)
         if replacing is not None:
             # The new witness is told of no upstream yet.
             await asyncio.wait({replacing})
-        if entry.witness is None:
+        if reservation.witness is None:
             return True
-        if not self._keeper.is_listed(entry):
+        if not self._keeper.is_listed(reservation):
             return False
-        return await self._tell_start(entry.witness, message)
+        return await self._send_start(reservation.witness, message)
 
-    async def _tell_start(self, peer, message):
+    async def _send_start(self, peer, message):
         """Tell a home or witness of a start; return whether it recorded it."""
         try:
             answer = await self._peers.call(
@@ -145,45 +145,45 @@
             return True
         LOG.info(
             "start_unrecorded",
-            reservation=message.reservation,
+            reservation_id=message.reservation,
             upstream=message.upstream,
             peer=peer,
             error=answer.detail,
         )
         return False
 
-    def release(self, reservation):
+    def release(self, reservation_id):
         """Give back a reservation whose run surely did not start."""
-        self.settle(reservation, "", 0)
+        self.settle(reservation_id, "", 0)
 
-    def settle(self, reservation, run, tokens):
+    def settle(self, reservation_id, run, tokens):
         """Bill a reservation; goes on in the background until written."""
         expiry = self._clock.wall() + self._settings.bill_memory
-        message = self._book.settle(reservation, run, tokens, expiry)
-        entry = self._book.get(reservation)
-        expiry = entry.deadline + self._settings.bill_memory
+        message = self._book.settle(reservation_id, run, tokens, expiry)
+        reservation = self._book.get(reservation_id)
+        expiry = reservation.deadline + self._settings.bill_memory
         message.expiry = max(message.expiry, expiry)
-        self._tasks.spawn(self._settle(entry, message))
+        self._tasks.spawn(self._settle(reservation, message))
 
-    async def _settle(self, entry, message):
-        home = entry.home
+    async def _settle(self, reservation, message):
+        home = reservation.home
         while True:
             try:
-                answer = await self._settle_at(home, message)
+                answer = await self._send_settlement(home, message)
                 if isinstance(answer, Ack):
                     break
             except PeerError:
                 pass
-            await asyncio.sleep(SETTLE_PAUSE)
+            await asyncio.sleep(SETTLE_RETRY_INTERVAL)
             if not self._members.is_alive(incarnation_of(home)):
                 if message.tokens == 0:
-                    self._tasks.spawn(self._tell_release(home, message))
+                    self._tasks.spawn(self._send_release(home, message))
                     break
-                home = self._next_home(entry)
-        self._book.written(entry.reservation)
-        await self._witnessing.end(entry)
+                home = self._next_home(reservation)
+        self._book.remove(reservation.reservation)
+        await self._witness_client.unregister(reservation)
 
-    async def _tell_release(self, home, message):
+    async def _send_release(self, home, message):
         """Tell a home that seems dead of a release, if it comes back.
 
         One that froze with the Reserve in its socket takes it in when it
@@ -191,16 +191,16 @@
         """
         while self._members.is_known(incarnation_of(home)):
             try:
-                await self._settle_at(home, message)
+                await self._send_settlement(home, message)
                 return
             except PeerError:
-                await asyncio.sleep(RELEASE_PAUSE)
+                await asyncio.sleep(RELEASE_RETRY_INTERVAL)
 
-    def _next_home(self, entry):
-        shard = self._keeper.shard(entry.budget)
+    def _next_home(self, reservation):
+        shard = self._keeper.shard(reservation.budget)
         return self._members.homes(shard)[0]
 
-    async def _settle_at(self, home, message):
+    async def _send_settlement(self, home, message):
         if home == self._incarnation:
             return await self._keeper.handle(message)
         return await self._peers.call(
@@ -213,15 +213,15 @@
         """Take in a Witness, Started or WitnessEnd message."""
         now = self._clock.wall()
         if isinstance(message, Witness):
-            if not self._book.witness(message, now):
+            if not self._book.add_witnessed(message, now):
                 return Refused(ErrorKind.BUDGET_UNAVAILABLE.value, "shunned")
         elif isinstance(message, Started):
-            if not self._book.started(message, now):
+            if not self._book.record_start(message, now):
                 return Refused(
                     ErrorKind.BUDGET_UNAVAILABLE.value, "not witnessed"
                 )
         else:
-            self._book.written(message.reservation)
+            self._book.remove(message.reservation)
         return Ack()
 
     async def run(self):
@@ -233,42 +233,42 @@
 
     def _resolve_orphans(self):
         """Bill witnessed runs of dead homes by what their upstreams say."""
-        for entry in self._book.orphans(self._is_holder_alive):
-            if entry.reservation not in self._resolving:
-                self._resolving.add(entry.reservation)
-                self._tasks.spawn(self._resolve_orphan(entry))
+        for reservation in self._book.orphans(self._is_holder_alive):
+            if reservation.reservation not in self._resolving:
+                self._resolving.add(reservation.reservation)
+                self._tasks.spawn(self._resolve_orphan(reservation))
 
     def _replace_witnesses(self):
         """Find witnesses for runs that lost theirs."""
-        for entry in self._witnessing.unwatched():
-            if entry.reservation not in self._replacing:
-                task = self._tasks.spawn(self._replace_witness(entry))
-                self._replacing[entry.reservation] = task
+        for reservation in self._witness_client.unwitnessed():
+            if reservation.reservation not in self._replacing:
+                task = self._tasks.spawn(self._replace_witness(reservation))
+                self._replacing[reservation.reservation] = task
 
-    async def _replace_witness(self, entry):
+    async def _replace_witness(self, reservation):
         try:
-            await self._witnessing.replace(entry)
+            await self._witness_client.replace(reservation)
         finally:
-            self._replacing.pop(entry.reservation, None)
+            self._replacing.pop(reservation.reservation, None)
 
-    async def _resolve_orphan(self, entry):
+    async def _resolve_orphan(self, reservation):
         try:
-            result = await self._resolver.resolve(entry)
+            result = await self._resolver.resolve(reservation)
         finally:
-            self._resolving.discard(entry.reservation)
-        if result is None or entry.settlement is not None:
+            self._resolving.discard(reservation.reservation)
+        if result is None or reservation.settlement is not None:
             return
-        if entry.reservation not in self._book:
+        if reservation.reservation not in self._book:
             return
         message = self._book.settle(
-            entry.reservation, result.run, result.tokens, result.expiry
+            reservation.reservation, result.run, result.tokens, result.expiry
         )
-        log_resolved(message, entry.upstream)
+        log_resolved(message, reservation.upstream)
         if not result.tokens:
-            self._book.written(entry.reservation)
+            self._book.remove(reservation.reservation)
             return
-        entry.home = self._next_home(entry)
-        self._tasks.spawn(self._settle(entry, message))
+        reservation.home = self._next_home(reservation)
+        self._tasks.spawn(self._settle(reservation, message))
 
     def _is_holder_alive(self, holder):
         return self._members.is_alive(incarnation_of(holder))
@@ -287,12 +287,15 @@
     def unsettled_items(self):
         """Return an UnsettledItem of each that counts as unbilled."""
         alive = self._is_holder_alive
-        return [item_of_entry(entry, alive) for entry in self._book]
+        return [
+            item_of_open_reservation(reservation, alive)
+            for reservation in self._book
+        ]
 
     @property
     def untold(self):
         """Return how many ends some witness has yet to be told."""
-        return self._witnessing.untold
+        return self._witness_client.pending_ends
 
     @property
     def unsettled(self):
--- a/rowanport/ledger/editor.py
+++ b/rowanport/ledger/editor.py
@@ -14,8 +14,8 @@
 from .record import add_budget
 from .record import free_tokens
 
-TRIES = 20
-PAUSE = 0.05
+MAX_ATTEMPTS = 20
+RETRY_INTERVAL = 0.05
 
 
 class BudgetEditor:
@@ -80,13 +80,13 @@
 
     async def _apply(self, change_id, name, what, make):
         failure = None
-        for _try in range(TRIES):
+        for _try in range(MAX_ATTEMPTS):
             try:
                 return await self._apply_once(change_id, name, what, make)
             except StoreError as error:
                 # After a lost answer the next try sees the change's id.
                 failure = error
-                await asyncio.sleep(PAUSE)
+                await asyncio.sleep(RETRY_INTERVAL)
         if isinstance(failure, StoreConflict):
             raise ConflictError(f"budget {name!r} keeps changing; try again")
         raise UserError(
--- a/rowanport/ledger/holder.py
+++ b/rowanport/ledger/holder.py
@@ -14,12 +14,12 @@
 from ..schema.messages import Reserved
 from .account import Account
 from .account import Reservation
-from .balance import Balance
 from .bills import make_bill
 from .bills import UnwrittenBills
 from .loans import Loans
 from .loans import transfers
 from .orphans import PRESUME_UNKNOWN_AFTER
+from .rebalancer import Rebalancer
 from .record import Batch
 from .record import find_bill
 from .record import is_presumed
@@ -27,8 +27,8 @@
 from .record import NO_BILL
 from .record import unspent_tokens
 
-DRY_SECONDS = 0.5
-VOID_MEMORY = 3600.0
+EXHAUSTED_SECONDS = 0.5
+RELEASE_MEMORY = 3600.0
 
 
 class LateRelease:
@@ -56,20 +56,20 @@
 
     def __init__(self, holder, shard, sizing, new_id):
         self.shard = shard
-        self._balance = Balance(sizing)
+        self._rebalancer = Rebalancer(sizing)
         self._new_id = new_id
         self._bills = UnwrittenBills()
-        self._shunned = set()
+        self._fenced = set()
         self._entries = set()
         self._answers = []
         # Kept when others recover this holder: an entry that lives may give
         # back what was presumed of the holder's old id.
-        self._voids = {}
+        self._released = {}
         self._late_releases = {}
         self._leaving = False
-        self._begin(holder)
+        self._reset(holder)
 
-    def _begin(self, holder):
+    def _reset(self, holder):
         """Start under a holder id that the shard does not know yet."""
         self.holder = holder
         self.record = None
@@ -80,7 +80,7 @@
         self._loans = Loans(self._new_id)
         self._recoveries = []
         self._left = False
-        self._touched = False
+        self._write_due = False
 
     # Views
 
@@ -156,7 +156,7 @@
         wanted = set(entries) | kept
         if wanted != self._entries:
             self._entries = wanted
-            self._touched = True
+            self._write_due = True
 
     def rename_entry(self, reservation, budget, entry):
         """Note who remembers a reservation from now on, and list it."""
@@ -164,7 +164,7 @@
         if reserved is not None:
             reserved.entry = entry
             self._entries.add(entry)
-            self._touched = True
+            self._write_due = True
 
     # Reservations
 
@@ -178,7 +178,7 @@
         known = account.reserved.get(message.reservation)
         if known is not None:
             return Reserved(known.reservation, self.holder, known.tokens)
-        if message.reservation in self._voids:
+        if message.reservation in self._released:
             return _refused(ErrorKind.BUDGET_UNAVAILABLE, "voided")
         if self._leaving:
             return _refused(ErrorKind.STOPPING, "the home is stopping")
@@ -189,23 +189,23 @@
         ):
             return _refused(ErrorKind.UNKNOWN_BUDGET, "no such budget")
         if message.entry not in self.listed:
-            self._touched = True
+            self._write_due = True
             self._entries.add(message.entry)
             account.waiting[message.reservation] = message
             return None
         if account.available >= message.tokens and not account.waiting:
-            return self._set_aside(account, message, now)
-        if now < account.dry_until:
-            return self._refuse_dry(account, message)
+            return self._add_reservation(account, message, now)
+        if now < account.exhausted_until:
+            return self._refuse_exhausted(account, message)
         account.waiting[message.reservation] = message
         return None
 
-    def _set_aside(self, account, message, now):
+    def _add_reservation(self, account, message, now):
         reservation = Reservation(message, now)
         account.reserved[message.reservation] = reservation
         return Reserved(message.reservation, self.holder, message.tokens)
 
-    def _refuse_dry(self, account, message):
+    def _refuse_exhausted(self, account, message):
         budget = self.record and self.record.budgets.get(account.name)
         if budget is None:
             return _refused(ErrorKind.BUDGET_UNAVAILABLE, "ledger not read")
@@ -240,10 +240,10 @@
         reservation = account.reserved.pop(message.reservation, None)
         account.waiting.pop(message.reservation, None)
         if message.tokens == 0:
-            self._void(message, reservation, now)
+            self._record_release(message, reservation, now)
             return Ack()
         if message.reservation in self._bills:
-            return self._settle_again(message)
+            return self._settle_repeated(message)
         bill = make_bill(message)
         if own and reservation is None:
             if self._is_written(bill):
@@ -253,13 +253,13 @@
         self._bills.add(bill, reservation.entry if reservation else None)
         return None
 
-    def _void(self, message, reservation, now):
+    def _record_release(self, message, reservation, now):
         """Note that a reservation was given back.
 
         :param reservation: the Reservation, None if it is not open here
         """
-        until = now + VOID_MEMORY
-        self._voids[message.reservation] = until
+        until = now + RELEASE_MEMORY
+        self._released[message.reservation] = until
         # An overload gives back hundreds a second, within moments: only those
         # that others may have presumed spent are looked up in each record.
         if reservation is None or (
@@ -268,7 +268,7 @@
             late = LateRelease(message, until)
             self._late_releases[message.reservation] = late
 
-    def _settle_again(self, message):
+    def _settle_repeated(self, message):
         """Return the answer to a Settle whose reservation has a bill here.
 
         What was presumed has to be written before the entry's own word can
@@ -296,9 +296,9 @@
 
     def forget(self, now):
         """Drop what is remembered only against late repeats."""
-        for key, until in list(self._voids.items()):
+        for key, until in list(self._released.items()):
             if until < now:
-                del self._voids[key]
+                del self._released[key]
         for key, late in list(self._late_releases.items()):
             if late.until < now:
                 del self._late_releases[key]
@@ -312,11 +312,11 @@
                 return _refused(ErrorKind.UNKNOWN_BUDGET, "no such budget")
         listed = message.entry in self.listed
         if listed and account.available >= message.tokens:
-            return self._set_aside(account, message, now)
+            return self._add_reservation(account, message, now)
         if now >= message.waits_until:
             return _refused(ErrorKind.BUDGET_UNAVAILABLE, "no tokens in time")
-        if listed and now < account.dry_until:
-            return self._refuse_dry(account, message)
+        if listed and now < account.exhausted_until:
+            return self._refuse_exhausted(account, message)
         return None
 
     def take_answers(self):
@@ -327,7 +327,7 @@
 
     def take_written(self):
         """Return ids of reservations whose bills stand in the shard."""
-        return self._bills.take_written()
+        return self._bills.pop_written()
 
     # Loans
 
@@ -340,23 +340,25 @@
             return []
         result = []
         for account in self._accounts.values():
-            if not account.lacking or now < account.dry_until:
+            if not account.shortfall or now < account.exhausted_until:
                 continue
-            if account.ask is not None:
+            if account.pending_ask is not None:
                 continue
-            ask = self._ask(account)
+            ask = self._request_loan(account)
             if ask is not None:
                 result.append(ask)
         return result
 
-    def _ask(self, account):
+    def _request_loan(self, account):
         known = account.name in self.record.budgets
         if not known or self.holder not in self.record.holders:
             return None
-        ask = self._loans.ask(account, self.record, self.holder, self._shunned)
+        ask = self._loans.next_ask(
+            account, self.record, self.holder, self._fenced
+        )
         if ask is None:
             # Nobody is left to ask: only the shard can help.
-            self._touched = True
+            self._write_due = True
         return ask
 
     def ask_refused(self, message):
@@ -366,12 +368,12 @@
         comes late.
         """
         account = self.account(message.budget)
-        if account.ask == message.ask:
-            account.ask = None
+        if account.pending_ask == message.ask:
+            account.pending_ask = None
 
     def lend(self, message, now):
         """Lend tokens to another holder, once for each ask."""
-        known = self._loans.known(message.ask)
+        known = self._loans.previous_answer(message.ask)
         if known is not None:
             return known
         account = self.account(message.budget)
@@ -385,7 +387,7 @@
     def borrow(self, message, now):
         """Take in lent tokens, once for each transfer."""
         account = self.account(message.budget)
-        if message.lender in self._shunned:
+        if message.lender in self._fenced:
             return
         if self._loans.borrow(account, message):
             self.ask_refused(message)
@@ -395,7 +397,7 @@
 
     def attest(self, holder):
         """Return what is borrowed from a holder; shun it from now on."""
-        self._shunned.add(holder)
+        self._fenced.add(holder)
         outstanding = collections.Counter()
         for account in self._accounts.values():
             for message in account.borrowed.values():
@@ -419,7 +421,9 @@
             return self._batch
         if self.record is None or self._left:
             return None
-        batch = Batch(self.holder, self._number + 1, now, self._listing())
+        batch = Batch(
+            self.holder, self._number + 1, now, self._sorted_entries()
+        )
         self._fill_draws(batch, now)
         self._fill_returns(batch, now)
         batch.bills = list(self._bills)
@@ -432,7 +436,7 @@
             return None
         if not self._is_due(batch, now):
             return None
-        self._touched = False
+        self._write_due = False
         self._number += 1
         self._batch = batch
         for name, tokens in batch.returns.items():
@@ -444,7 +448,7 @@
         known = self.holder in self.record.holders
         return not (known or batch.bills or batch.transfers or batch.closed)
 
-    def _listing(self):
+    def _sorted_entries(self):
         return sorted(self._entries)
 
     def _is_due(self, batch, now):
@@ -452,7 +456,7 @@
             return True
         if batch.draws or batch.wants or batch.recoveries or batch.leaving:
             return True
-        return self._touched and not self._leaving
+        return self._write_due and not self._leaving
 
     def _may_leave(self):
         return (
@@ -466,13 +470,13 @@
             return
         for name, budget in self.record.budgets.items():
             account = self.account(name)
-            self._balance.fill_draw(batch, account, budget, now)
+            self._rebalancer.fill_draw(batch, account, budget, now)
 
     def _fill_returns(self, batch, now):
         for name, account in self._accounts.items():
             budget = self.record.budgets.get(name)
             if budget is not None:
-                self._balance.fill_return(
+                self._rebalancer.fill_return(
                     batch, account, budget, self._leaving, now
                 )
 
@@ -492,35 +496,35 @@
             self._recoveries.remove(recovery)
         self._left = batch.leaving
         self.observe(record, now)
-        self._finish_round(batch, record, now)
+        self._finish_sync(batch, record, now)
 
     def _forget_bill(self, bill):
-        self._bills.written(bill)
+        self._bills.mark_written(bill)
         if bill.holder == self.holder:
             self.account(bill.budget).unwritten -= bill.tokens
 
-    def _finish_round(self, batch, record, now):
+    def _finish_sync(self, batch, record, now):
         """Call a budget dry when neither shard nor lenders had enough."""
         for name in batch.draws:
             account = self.account(name)
-            if not account.lacking:
+            if not account.shortfall:
                 # The draw was enough, or nobody waits any more.
-                account.asked.clear()
+                account.asked_lenders.clear()
                 continue
             budget = record.budgets[name]
-            if self._all_asked(account, budget, record):
-                account.dry_until = now + DRY_SECONDS
-                account.asked.clear()
+            if self._all_lenders_asked(account, budget, record):
+                account.exhausted_until = now + EXHAUSTED_SECONDS
+                account.asked_lenders.clear()
         self.pump(now)
 
-    def _all_asked(self, account, budget, record):
+    def _all_lenders_asked(self, account, budget, record):
         others = {
             holder
             for holder in budget.grants
             if holder != self.holder and holder in live_holders(record)
         }
-        return account.ask is None and (
-            others <= account.asked | self._shunned
+        return account.pending_ask is None and (
+            others <= account.asked_lenders | self._fenced
         )
 
     def store_failed(self, now):
@@ -529,11 +533,11 @@
             return
         for account in self._accounts.values():
             budget = self.record.budgets.get(account.name)
-            if budget is None or not account.lacking:
+            if budget is None or not account.shortfall:
                 continue
-            if self._all_asked(account, budget, self.record):
-                account.dry_until = now + DRY_SECONDS
-                account.asked.clear()
+            if self._all_lenders_asked(account, budget, self.record):
+                account.exhausted_until = now + EXHAUSTED_SECONDS
+                account.asked_lenders.clear()
         self.pump(now)
 
     def observe(self, record, now):
@@ -550,11 +554,11 @@
                 account = self.account(name)
                 account.granted = budget.grants.get(self.holder, 0)
                 self._loans.observe(account, record)
-                self._see_bills(account, record)
+                self._drop_billed(account, record)
         self._withdraw_presumed(record)
         self.pump(now)
 
-    def _see_bills(self, account, record):
+    def _drop_billed(self, account, record):
         """Drop reservations that were billed through another home."""
         for key, reservation in list(account.reserved.items()):
             bill = record.bills.get(reservation.request)
@@ -575,7 +579,7 @@
     def leave(self):
         """Begin a planned stop: reserve nothing new, give all back."""
         self._leaving = True
-        self._touched = True
+        self._write_due = True
 
     def stay(self):
         """Take back a :meth:`leave`; return whether that is possible.
@@ -598,9 +602,9 @@
             for account in self._accounts.values()
             for message in account.waiting.values()
         ]
-        self._shunned.add(self.holder)
-        self._begin(holder)
-        self._touched = True
+        self._fenced.add(self.holder)
+        self._reset(holder)
+        self._write_due = True
         for message in waiting:
             answer = _refused(ErrorKind.NOT_READY, "its home was recovered")
             self._answers.append((message, answer))
--- a/rowanport/ledger/keeper.py
+++ b/rowanport/ledger/keeper.py
@@ -25,17 +25,17 @@
 from ..store import Value
 from ..tasks import TaskSet
 from .holder import Holder
-from .place import Place
 from .record import apply_batch
 from .record import Expelled
 from .record import is_applied
 from .record import MemoryLimits
 from .record import new_shard
 from .recoverer import Recoverer
+from .shard_state import ShardState
 from .sizing import Sizing
-from .unsettled import item_of_reservation
+from .unsettled import item_of_held_reservation
 from .waiters import Waiters
-from .witnesses import WitnessChoice
+from .witness_selector import WitnessSelector
 
 LOG = structlog.get_logger(__name__)
 TICK = 0.02
@@ -43,8 +43,8 @@
 REVIEW_INTERVAL = 1.0
 ASK_TIMEOUT = 0.5
 RETIRE_AFTER = 10.0
-FAILED_PAUSE = 0.5
-WRITTEN_WAIT = 25.0
+STORE_RETRY_DELAY = 0.5
+WRITE_TIMEOUT = 25.0
 
 
 def shard_key(shard):
@@ -99,11 +99,11 @@
             settings.horizon, settings.least_grant, settings.share
         )
         self._limits = MemoryLimits(settings.memory_limit)
-        self._places = {}
-        self._retired = {}
+        self._shards = {}
+        self._holder_numbers = {}
         self._answers = Waiters()
         self._written = Waiters()
-        self._shunned = set()
+        self._fenced = set()
         self._recoverer = Recoverer(
             incarnation,
             peers,
@@ -115,7 +115,7 @@
             resolve,
             self._attest,
         )
-        self._witnesses = WitnessChoice(incarnation, members)
+        self._witness_selector = WitnessSelector(incarnation, members)
         self._tasks = TaskSet()
         self._wake = asyncio.Event()
         self._stopping = False
@@ -128,7 +128,7 @@
         billed: a fleet that did not count them would call itself settled
         some seconds, or a whole run, too early.
         """
-        held = (place.holder.unsettled() for place in self._places.values())
+        held = (state.holder.unsettled() for state in self._shards.values())
         ids = set().union(*held)
         return sum(reservation not in self._book for reservation in ids)
 
@@ -140,9 +140,9 @@
         """
         alive = self._members.is_alive
         return [
-            item_of_reservation(reservation, alive)
-            for place in self._places.values()
-            for reservation in place.holder.reservations()
+            item_of_held_reservation(reservation, alive)
+            for state in self._shards.values()
+            for reservation in state.holder.reservations()
             if reservation.reservation not in self._book
         ]
 
@@ -154,23 +154,27 @@
 
     def places(self):
         """Return the holders of this router by shard."""
-        return {place.shard: place.holder for place in self._places.values()}
-
-    def _place(self, shard):
-        place = self._places.get(shard)
-        if place is None:
-            count = self._retired.get(shard, 0) + 1
-            self._retired[shard] = count
-            holder = Holder(self._name(count), shard, self._sizing, new_id)
-            for name in self._shunned:
+        return {state.shard: state.holder for state in self._shards.values()}
+
+    def _shard_state(self, shard):
+        state = self._shards.get(shard)
+        if state is None:
+            holder_number = self._holder_numbers.get(shard, 0) + 1
+            self._holder_numbers[shard] = holder_number
+            holder = Holder(
+                self._holder_id(holder_number), shard, self._sizing, new_id
+            )
+            for name in self._fenced:
                 holder.attest(name)
             if self._stopping:
                 holder.leave()
-            place = self._places[shard] = Place(shard, holder, count)
-        return place
+            state = self._shards[shard] = ShardState(
+                shard, holder, holder_number
+            )
+        return state
 
-    def _name(self, count):
-        return f"{self._incarnation}~{count}"
+    def _holder_id(self, holder_number):
+        return f"{self._incarnation}~{holder_number}"
 
     # Messages
 
@@ -182,9 +186,9 @@
             return Ack()
         if isinstance(message, Attest):
             return self._attest(message)
-        holder = self._place(self.shard(message.budget)).holder
+        holder = self._shard_state(self.shard(message.budget)).holder
         if isinstance(message, Reserve):
-            holder = await self._staying(holder)
+            holder = await self._cancel_leave(holder)
             return await self._reserve(holder, message, now)
         if isinstance(message, Settle):
             return await self._settle(holder, message, now)
@@ -194,42 +198,47 @@
             return holder.lend(message, now)
         return Refused(ErrorKind.INTERNAL.value, "unexpected message")
 
-    def rename_entry(self, entry):
+    def rename_entry(self, reservation):
         """Note which witness remembers a reservation of the own entry.
 
         :param entry: its OpenReservation
         """
-        holder = self._place(self.shard(entry.budget)).holder
-        holder.rename_entry(entry.reservation, entry.budget, entry.witness)
+        holder = self._shard_state(self.shard(reservation.budget)).holder
+        holder.rename_entry(
+            reservation.reservation, reservation.budget, reservation.witness
+        )
 
-    def is_listed(self, entry):
+    def is_listed(self, reservation):
         """Return whether the shard lists the witness of an own reservation.
 
         Who recovers this home's grants asks only those that are listed.
 
         :param entry: its OpenReservation
         """
-        holder = self._place(self.shard(entry.budget)).holder
-        return holder.holder == entry.holder and entry.witness in holder.listed
+        holder = self._shard_state(self.shard(reservation.budget)).holder
+        return (
+            holder.holder == reservation.holder
+            and reservation.witness in holder.listed
+        )
 
-    async def _staying(self, holder):
+    async def _cancel_leave(self, holder):
         """Return the shard's holder, kept from leaving if it may be."""
         while holder.leaving and not self._stopping and not holder.stay():
             await asyncio.sleep(TICK)
-            holder = self._place(holder.shard).holder
+            holder = self._shard_state(holder.shard).holder
         return holder
 
     async def _reserve(self, holder, message, now):
         answer = holder.reserve(message, now)
         if answer is not None:
             return answer
-        place = self._place(holder.shard)
-        if now >= place.last_sync + self._settings.urgent_interval:
-            place.next_sync = now
+        state = self._shard_state(holder.shard)
+        if now >= state.last_sync + self._settings.urgent_interval:
+            state.next_sync = now
         else:
-            place.next_sync = min(
-                place.next_sync,
-                place.last_sync + self._settings.urgent_interval,
+            state.next_sync = min(
+                state.next_sync,
+                state.last_sync + self._settings.urgent_interval,
             )
         self._wake.set()
         return await self._answers.wait(message.reservation)
@@ -241,7 +250,7 @@
             return answer
         waiter = self._written.wait(message.reservation)
         try:
-            return await asyncio.wait_for(waiter, WRITTEN_WAIT)
+            return await asyncio.wait_for(waiter, WRITE_TIMEOUT)
         except asyncio.TimeoutError:
             return Refused(ErrorKind.NOT_READY.value, "not written yet")
 
@@ -254,10 +263,10 @@
             self._written.finish(reservation, Ack())
 
     def _attest(self, message):
-        self._shunned.add(message.holder)
+        self._fenced.add(message.holder)
         outstanding = self._book.attest(message.holder)
-        for place in self._places.values():
-            outstanding.update(place.holder.attest(message.holder))
+        for state in self._shards.values():
+            outstanding.update(state.holder.attest(message.holder))
         return Attested(self._incarnation, dict(outstanding))
 
     # Loop
@@ -271,126 +280,126 @@
         review = 0.0
         while True:
             now = self._clock.wall()
-            places = list(self._places.values())
-            for place in places:
-                self._step(place, now)
+            states = list(self._shards.values())
+            for state in states:
+                self._sync_if_due(state, now)
             if now >= review:
                 review = now + REVIEW_INTERVAL
-                self._review(now)
+                self._review_shards(now)
             self._wake.clear()
             tick = IDLE_TICK
-            if any(place.holder.waiting for place in places):
+            if any(state.holder.waiting for state in states):
                 tick = TICK
             try:
                 await asyncio.wait_for(self._wake.wait(), tick)
             except asyncio.TimeoutError:
                 pass
 
-    def _step(self, place, now):
-        holder = place.holder
+    def _sync_if_due(self, state, now):
+        holder = state.holder
         if holder.waiting:
             self._flush(holder)
-            self._send_asks(holder, now)
-        if place.syncing or now < place.next_sync:
+            self._send_loan_requests(holder, now)
+        if state.syncing or now < state.next_sync:
             return
-        place.last_sync = now
-        place.next_sync = now + self._settings.interval
-        place.task = self._tasks.spawn(self._sync(place))
+        state.last_sync = now
+        state.next_sync = now + self._settings.interval
+        state.sync_task = self._tasks.spawn(self._sync(state))
 
     # Store
 
-    async def _sync(self, place):
-        holder = place.holder
+    async def _sync(self, state):
+        holder = state.holder
         now = self._clock.wall()
         try:
-            if holder.record is None or now >= place.next_read:
-                await self._read(place)
+            if holder.record is None or now >= state.next_read:
+                await self._read(state)
             batch = holder.make_batch(self._clock.wall())
             if batch is not None:
-                await self._write(place, batch)
+                await self._write(state, batch)
         except Expelled:
-            self._expelled(place)
+            self._replace_holder(state)
         except StoreBusy:
             self._metrics.store_failures.inc({"kind": "busy"})
         except StoreError:
             self._metrics.store_failures.inc({"kind": "unavailable"})
             now = self._clock.wall()
-            place.next_sync = max(place.next_sync, now + FAILED_PAUSE)
+            state.next_sync = max(state.next_sync, now + STORE_RETRY_DELAY)
             holder.store_failed(now)
         self._flush(holder)
         if holder.left and not self._stopping:
-            self._places.pop(place.shard, None)
+            self._shards.pop(state.shard, None)
         if holder.waiting:
             now = self._clock.wall()
-            place.next_sync = min(
-                place.next_sync, now + self._settings.urgent_interval
+            state.next_sync = min(
+                state.next_sync, now + self._settings.urgent_interval
             )
 
-    async def _read(self, place):
+    async def _read(self, state):
         """Read the shard, and learn from it how a batch in flight fared."""
-        holder = place.holder
-        value = await self._store.get(shard_key(place.shard))
+        holder = state.holder
+        value = await self._store.get(shard_key(state.shard))
         now = self._clock.wall()
-        place.next_read = now + 2 * self._settings.interval
+        state.next_read = now + 2 * self._settings.interval
         # Data and version belong together: a batch is only ever applied
         # to the very value that its compare-and-swap expects.
-        place.version = value.version
-        place.data = value.data
+        state.version = value.version
+        state.data = value.data
         record = read_shard(value)
         batch = holder.in_flight
         if batch is None:
-            self._check_expelled(place, record)
+            self._check_expelled(state, record)
             holder.observe(record, now)
         elif is_applied(record, batch):
             holder.batch_applied(record, now)
 
-    def _check_expelled(self, place, record):
-        if place.holder.holder in record.expelled:
-            raise Expelled(place.holder.holder)
+    def _check_expelled(self, state, record):
+        if state.holder.holder in record.expelled:
+            raise Expelled(state.holder.holder)
 
-    async def _write(self, place, batch):
+    async def _write(self, state, batch):
         """Write a batch, however often others write in between."""
-        holder = place.holder
+        holder = state.holder
         urgent = holder.waiting or batch.draws or batch.leaving
         while not self._write_limiter.try_acquire(
             urgent, self._clock.steady()
         ):
             await asyncio.sleep(self._settings.urgent_interval)
         while holder.in_flight is batch:
-            record = read_shard(Value(place.data, place.version))
+            record = read_shard(Value(state.data, state.version))
             apply_batch(record, batch, self._sizing, self._limits)
             data = record.pack()
             try:
-                place.version = await self._store.put(
-                    shard_key(place.shard), data, place.version
+                state.version = await self._store.put(
+                    shard_key(state.shard), data, state.version
                 )
             except StoreConflict:
                 self._metrics.store_failures.inc({"kind": "conflict"})
-                await self._read(place)
+                await self._read(state)
                 continue
             except StoreError:
                 # Whether it took effect is learned by the next read.
-                place.next_read = 0.0
+                state.next_read = 0.0
                 raise
             self._metrics.batches.inc({})
-            place.data = data
+            state.data = data
             holder.batch_applied(record, self._clock.wall())
 
-    def _expelled(self, place):
-        LOG.warning("holder_recovered_by_others", shard=place.shard)
-        self._shunned.add(place.holder.holder)
-        place.count += 1
-        self._retired[place.shard] = place.count
-        place.holder.expel(self._name(place.count))
-        place.next_sync = 0.0
+    def _replace_holder(self, state):
+        LOG.warning("holder_recovered_by_others", shard=state.shard)
+        self._fenced.add(state.holder.holder)
+        state.holder_number += 1
+        self._holder_numbers[state.shard] = state.holder_number
+        state.holder.expel(self._holder_id(state.holder_number))
+        state.next_sync = 0.0
 
     # Loans
 
-    def _send_asks(self, holder, now):
+    def _send_loan_requests(self, holder, now):
         for lender, message in holder.asks(now):
-            self._tasks.spawn(self._ask(holder, lender, message))
+            self._tasks.spawn(self._request_loan(holder, lender, message))
 
-    async def _ask(self, holder, lender, message):
+    async def _request_loan(self, holder, lender, message):
         name = holder.holder
         for _attempt in range(3):
             try:
@@ -414,30 +423,30 @@
 
     # Review: homes, dead entries, dead holders
 
-    def _review(self, now):
+    def _review_shards(self, now):
         shards = range(self._settings.shards)
-        entries = self._witnesses.entries()
+        entries = self._witness_selector.entries()
         mine = {
             shard
             for shard in shards
             if self._members.home(shard) == self._incarnation
         }
         for shard in mine:
-            place = self._place(shard)
-            place.home_until = now + RETIRE_AFTER
+            state = self._shard_state(shard)
+            state.home_until = now + RETIRE_AFTER
             if not self._stopping:
-                place.holder.set_entries(entries)
-                self._recoverer.recover_dead(place, now)
-        for place in list(self._places.values()):
-            place.holder.forget(now)
-            self._recoverer.resolve_dead(place.holder)
-            self._retire(place, now)
-
-    def _retire(self, place, now):
+                state.holder.set_entries(entries)
+                self._recoverer.recover_dead_holders(state, now)
+        for state in list(self._shards.values()):
+            state.holder.forget(now)
+            self._recoverer.resolve_orphans(state.holder)
+            self._retire(state, now)
+
+    def _retire(self, state, now):
         """Give up a shard whose home is another router for good."""
-        if now > place.home_until and place.holder.idle:
-            place.home_until = now + RETIRE_AFTER
-            place.holder.leave()
+        if now > state.home_until and state.holder.idle:
+            state.home_until = now + RETIRE_AFTER
+            state.holder.leave()
 
     # Stop
 
@@ -447,15 +456,15 @@
         :param deadline: wall time until which to try
         """
         self._stopping = True
-        for place in self._places.values():
-            place.holder.leave()
-            place.next_sync = 0.0
+        for state in self._shards.values():
+            state.holder.leave()
+            state.next_sync = 0.0
         while self._clock.wall() < deadline:
-            if all(p.holder.left for p in self._places.values()):
+            if all(p.holder.left for p in self._shards.values()):
                 return True
-            for place in self._places.values():
-                place.next_sync = min(
-                    place.next_sync,
+            for state in self._shards.values():
+                state.next_sync = min(
+                    state.next_sync,
                     self._clock.wall() + self._settings.urgent_interval,
                 )
             self._wake.set()
--- a/rowanport/ledger/loans.py
+++ b/rowanport/ledger/loans.py
@@ -30,7 +30,7 @@
 
     # Borrowing
 
-    def ask(self, account, record, holder, shunned):
+    def next_ask(self, account, record, holder, fenced):
         """Return the next (lender, LendAsk) for an account, or None.
 
         :param record: the ShardRecord as last read, with its budget
@@ -41,12 +41,15 @@
         for lender in _lenders(budget, holder):
             if lender not in live_holders(record):
                 continue
-            if lender not in account.asked | shunned:
-                account.asked.add(lender)
-                account.ask = self._new_id()
-                self._asks.add(account.ask)
+            if lender not in account.asked_lenders | fenced:
+                account.asked_lenders.add(lender)
+                account.pending_ask = self._new_id()
+                self._asks.add(account.pending_ask)
                 message = LendAsk(
-                    account.ask, account.name, account.lacking, holder
+                    account.pending_ask,
+                    account.name,
+                    account.shortfall,
+                    holder,
                 )
                 return lender, message
         return None
@@ -56,13 +59,13 @@
         if message.ask not in self._asks:
             return False
         self._asks.discard(message.ask)
-        account.asked.discard(message.lender)
+        account.asked_lenders.discard(message.lender)
         account.borrowed[message.ask] = message
         return True
 
     # Lending
 
-    def known(self, ask):
+    def previous_answer(self, ask):
         """Return the answer that an ask got before, or None."""
         loan = self._loans.get(ask)
         return loan.answer if loan is not None else None
--- a/rowanport/ledger/orphans.py
+++ b/rowanport/ledger/orphans.py
@@ -14,10 +14,10 @@
 # given back: one that was merely slow to answer keeps its place.
 RELEASE_AFTER = 1.0
 # Seconds for which the last bytes of an ended process may be under way.
-LAST_BYTES = 1.0
+LAST_BYTES_DELAY = 1.0
 # Seconds from the start of a run within which its engine cannot have been
 # restarted and forgotten it: to load a model takes longer.
-ENGINE_REMEMBERS = 8.0
+MIN_ENGINE_RESTART = 8.0
 # Seconds after its deadline at which a run is presumed spent whose upstream
 # does not answer.
 PRESUME_AFTER = 5.0
@@ -92,7 +92,7 @@
 
     async def _resolve_started(self, orphan, now):
         upstream = orphan.upstream
-        await self._note_gone(orphan)
+        await self._record_router_end(orphan)
         result = unknown = None
         try:
             result = await self._resolve(orphan)
@@ -117,19 +117,24 @@
 
         :param asked_at: wall time before the engine was asked
         """
-        if orphan.gone_at is None or asked_at < orphan.gone_at + LAST_BYTES:
+        if (
+            orphan.router_ended_at is None
+            or asked_at < orphan.router_ended_at + LAST_BYTES_DELAY
+        ):
             return False
-        return self._clock.wall() < orphan.started_at + ENGINE_REMEMBERS
+        return self._clock.wall() < orphan.started_at + MIN_ENGINE_RESTART
 
-    async def _note_gone(self, orphan):
+    async def _record_router_end(self, orphan):
         """Note whether the process of an orphan's router has ended.
 
         One that merely does not answer may be paused, and send the run later.
         """
-        if orphan.gone_at is None and await self._is_gone(orphan.router):
-            orphan.gone_at = self._clock.wall()
+        if orphan.router_ended_at is None and await self._has_router_ended(
+            orphan.router
+        ):
+            orphan.router_ended_at = self._clock.wall()
 
-    async def _is_gone(self, router):
+    async def _has_router_ended(self, router):
         if self._members.is_replaced(router):
             return True
         try:
--- a/rowanport/ledger/balance.py
+++ b/rowanport/ledger/rebalancer.py
@@ -7,7 +7,7 @@
 WANT_SECONDS = 10.0
 
 
-class Balance:
+class Rebalancer:
     """Fills the draws, wants and returns of batches.
 
     :param sizing: a Sizing
@@ -23,7 +23,7 @@
         """
         name = account.name
         free = free_tokens(budget)
-        need = account.lacking
+        need = account.shortfall
         rate = account.demand.rate(now)
         available = account.available
         unspent = unspent_tokens(budget)
@@ -47,19 +47,19 @@
         if leaving:
             tokens = max(0, account.available)
         else:
-            tokens = self._surplus(batch.holder, account, budget, now)
+            tokens = self._excess(batch.holder, account, budget, now)
         # Only what stands in the shard can be returned; borrowed tokens
         # reach it with this very batch.
         if tokens > 0:
             batch.returns[account.name] = tokens
             batch.draws.pop(account.name, None)
 
-    def _surplus(self, holder, account, budget, now):
+    def _excess(self, holder, account, budget, now):
         wanted = any(
             until > now and name != holder
             for name, until in budget.wanted.items()
         )
-        return self._sizing.surplus(
+        return self._sizing.excess(
             free_tokens(budget),
             unspent_tokens(budget),
             account.available,
--- a/rowanport/ledger/record.py
+++ b/rowanport/ledger/record.py
@@ -166,7 +166,7 @@
     for entry in batch.bills:
         apply_bill(record, entry, batch.at)
     for name, tokens in batch.returns.items():
-        _take(record.budgets[name], batch.holder, tokens)
+        _debit(record.budgets[name], batch.holder, tokens)
     for transfer in batch.closed:
         record.transfers.pop(transfer, None)
     for recovery in batch.recoveries:
@@ -195,11 +195,11 @@
     """
     if find_bill(record, entry.request, entry.run) is not None:
         return
-    if _is_presumed_of_billed(record, entry):
+    if _presumes_billed_run(record, entry):
         return
     budget = record.budgets[entry.budget]
     covered = _withdraw_presumption(record, budget, entry)
-    _take(budget, entry.holder, max(0, entry.tokens - covered))
+    _debit(budget, entry.holder, max(0, entry.tokens - covered))
     if not entry.tokens:
         return
     known = record.bills.get(entry.request)
@@ -219,7 +219,7 @@
     record.bills[absorbed_key(entry.request, entry.run)] = bill
 
 
-def _is_presumed_of_billed(record, entry):
+def _presumes_billed_run(record, entry):
     """Return whether a presumed run is the very one that was billed.
 
     A witness that missed a reservation's end presumes it spent.
@@ -250,7 +250,7 @@
     return presumed.tokens
 
 
-def _take(budget, holder, tokens):
+def _debit(budget, holder, tokens):
     """Take tokens from a grant, below nothing if need be.
 
     A holder may have spent or lent what it borrowed before the loan stands
@@ -268,8 +268,8 @@
     if transfer.transfer in record.transfers:
         return
     budget = record.budgets[transfer.budget]
-    _take(budget, transfer.lender, transfer.tokens)
-    _take(budget, borrower, -transfer.tokens)
+    _debit(budget, transfer.lender, transfer.tokens)
+    _debit(budget, borrower, -transfer.tokens)
     record.transfers[transfer.transfer] = transfer
 
 
--- a/rowanport/ledger/recoverer.py
+++ b/rowanport/ledger/recoverer.py
@@ -58,11 +58,11 @@
 
     # Dead entries
 
-    def resolve_dead(self, holder):
+    def resolve_orphans(self, holder):
         """Bill the runs of a holder's dead entries by what upstreams say."""
         for reservation in holder.reservations():
             if not self._is_orphan(reservation):
-                reservation.orphaned_at = reservation.gone_at = None
+                reservation.orphaned_at = reservation.router_ended_at = None
                 continue
             if reservation.reservation in self._resolving:
                 continue
@@ -104,19 +104,19 @@
 
     # Dead holders
 
-    def recover_dead(self, place, now):
+    def recover_dead_holders(self, state, now):
         """Recover the grants of this cell's dead holders of a shard."""
-        record = place.holder.record
+        record = state.holder.record
         if record is None:
             return
         for holder in record.holders:
             if not self._is_recoverable(holder, record):
-                place.dead_since.pop(holder, None)
+                state.dead_since.pop(holder, None)
                 continue
-            since = place.dead_since.setdefault(holder, now)
+            since = state.dead_since.setdefault(holder, now)
             if now >= since + RECOVER_AFTER:
-                place.dead_since[holder] = now
-                self._tasks.spawn(self._recover(place, holder, record))
+                state.dead_since[holder] = now
+                self._tasks.spawn(self._recover(state, holder, record))
 
     def _is_recoverable(self, holder, record):
         """Return whether a holder's grants may be taken back.
@@ -130,7 +130,7 @@
             return True
         return not self._members.is_alive(incarnation_of(holder))
 
-    async def _recover(self, place, dead, record):
+    async def _recover(self, state, dead, record):
         """Take back a dead holder's grants if all who may owe attest."""
         asked = set(record.holders[dead].entries)
         asked.update(map(incarnation_of, live_holders(record)))
@@ -139,12 +139,12 @@
         if incarnation_of(dead) in record.holders[dead].entries:
             LOG.info("holder_unrecovered", holder=dead, error="was alone")
             return
-        message = Attest(dead, place.shard)
+        message = Attest(dead, state.shard)
         kept = self._attest(message).outstanding
         asked.discard(self._incarnation)
         try:
             answers = await asyncio.gather(
-                *(self._ask_attest(peer, message) for peer in asked)
+                *(self._request_attestation(peer, message) for peer in asked)
             )
         except PeerError as error:
             LOG.info("holder_unrecovered", holder=dead, error=str(error))
@@ -156,13 +156,13 @@
             return
         self._metrics.recoveries.inc({})
         LOG.info(
-            "holder_recovered", shard=place.shard, holder=dead, kept=dict(kept)
+            "holder_recovered", shard=state.shard, holder=dead, kept=dict(kept)
         )
         batch = record.holders[dead].batch
         attested = [name for name in record.holders if name != dead]
-        place.holder.recover(Recovery(dead, batch, attested, kept))
+        state.holder.recover(Recovery(dead, batch, attested, kept))
 
-    async def _ask_attest(self, peer, message):
+    async def _request_attestation(self, peer, message):
         answer = await self._peers.call(
             address_of(peer), message, ATTEST_TIMEOUT
         )
--- a/rowanport/ledger/reserving.py
+++ b/rowanport/ledger/reserver.py
@@ -13,7 +13,7 @@
 from ..schema.messages import Reserved
 
 LOG = structlog.get_logger(__name__)
-HOME_TRIES = 4
+MAX_HOME_ATTEMPTS = 4
 ANSWER_MARGIN = 0.5
 PROBE_AFTER = 0.2
 PROBE_TIMEOUT = 0.2
@@ -27,26 +27,26 @@
     :ivar failure: why the last home gave none
     """
 
-    __slots__ = ("tried", "silent", "failure")
+    __slots__ = ("tried", "unresponsive", "failure")
 
     def __init__(self):
         self.tried = set()
-        self.silent = set()
+        self.unresponsive = set()
         self.failure = None
 
-    def give_up(self, home, why):
+    def exclude_home(self, home, why):
         """Ask a home no more."""
         self.tried.add(home)
         self.failure = why
 
-    def skip(self, witness):
+    def exclude_witness(self, witness):
         """Note that a witness, if there was one, did not answer."""
         if witness is not None:
-            self.silent.add(witness)
+            self.unresponsive.add(witness)
         self.failure = "its witness does not answer"
 
 
-class Reserving:
+class Reserver:
     """Asks the homes of a budget's shard, one after the other.
 
     :param incarnation: incarnation of this router
@@ -69,7 +69,7 @@
         members,
         settings,
         clock,
-        witnessing,
+        witness_client,
         release,
     ):
         self._incarnation = incarnation
@@ -79,7 +79,7 @@
         self._members = members
         self._settings = settings
         self._clock = clock
-        self._witnessing = witnessing
+        self._witness_client = witness_client
         self._release = release
 
     async def reserve(self, request, budget, tokens, deadline):
@@ -90,20 +90,20 @@
         """
         shard = self._keeper.shard(budget)
         search = _Search()
-        for _try in range(HOME_TRIES):
+        for _try in range(MAX_HOME_ATTEMPTS):
             # Asked anew each time: a home or witness that failed is suspect.
             home = self._next_untried(shard, search.tried)
             if home is None:
                 break
             now = self._clock.wall()
             until = min(deadline, now + self._settings.reserve_wait)
-            message = self._book.ask(
+            message = self._book.open(
                 request, budget, tokens, deadline, home, until
             )
             self._book.get(message.reservation).since = now
-            entry = await self._ask_home(home, message, search)
-            if entry is not None:
-                return entry
+            reservation = await self._ask_home(home, message, search)
+            if reservation is not None:
+                return reservation
         raise RequestError(
             ErrorKind.BUDGET_UNAVAILABLE, f"no home answers: {search.failure}"
         )
@@ -113,13 +113,13 @@
 
         :raises RequestError: it refused, and so would others
         """
-        witness = self._witnessing.choose(home, search.silent)
+        witness = self._witness_client.choose(home, search.unresponsive)
         message.entry = witness or self._incarnation
         try:
             answer = await self._send(home, message)
         except PeerError as error:
             self._members.suspect(home)
-            search.give_up(home, error)
+            search.exclude_home(home, error)
             self._release(message.reservation)
             return None
         except asyncio.CancelledError:
@@ -127,8 +127,8 @@
             self._release(message.reservation)
             raise
         if isinstance(answer, Refused):
-            self._book.refused(message.reservation)
-            self._take_refusal(home, answer, search)
+            self._book.reject(message.reservation)
+            self._handle_refusal(home, answer, search)
             return None
         if self._is_recovered(answer):
             LOG.info(
@@ -137,19 +137,19 @@
                 reservation=message.reservation,
                 holder=answer.holder,
             )
-            search.give_up(home, f"{home} was recovered")
+            search.exclude_home(home, f"{home} was recovered")
         else:
-            entry = await self._accept(answer, witness)
-            if entry is not None:
-                return entry
-            search.skip(witness)
+            reservation = await self._accept(answer, witness)
+            if reservation is not None:
+                return reservation
+            search.exclude_witness(witness)
         self._release(message.reservation)
         return None
 
-    def _take_refusal(self, home, answer, search):
+    def _handle_refusal(self, home, answer, search):
         """Note why a home refused, if it is worth while to ask on."""
         if answer.kind == ErrorKind.STOPPING.value:
-            search.give_up(home, answer.detail)
+            search.exclude_home(home, answer.detail)
         elif answer.kind == ErrorKind.NOT_READY.value:
             # It begins anew, without what was recovered from it.
             search.failure = answer.detail
@@ -163,7 +163,7 @@
         """
         if not isinstance(answer, Reserved):
             return False
-        return self._book.is_shunned(answer.holder)
+        return self._book.is_fenced(answer.holder)
 
     def _next_untried(self, shard, tried):
         for home in self._members.homes(shard):
@@ -174,27 +174,29 @@
     async def _accept(self, answer, witness):
         if not isinstance(answer, Reserved):
             return None
-        entry = self._book.reserved(answer)
-        if entry is None:
+        reservation = self._book.confirm(answer)
+        if reservation is None:
             return None
         if witness is None:
-            self._note_unwitnessed(entry)
-            entry.usable = True
-            return entry
+            self._log_unwitnessed(reservation)
+            reservation.usable = True
+            return reservation
         try:
-            entry.usable = await self._witnessing.ask(entry, witness)
+            reservation.usable = await self._witness_client.register(
+                reservation, witness
+            )
         except asyncio.CancelledError:
-            self._release(entry.reservation)
+            self._release(reservation.reservation)
             raise
-        return entry if entry.usable else None
+        return reservation if reservation.usable else None
 
-    def _note_unwitnessed(self, entry):
+    def _log_unwitnessed(self, reservation):
         """Log a reservation that dies with this router, if it does."""
-        if entry.home == self._incarnation:
+        if reservation.home == self._incarnation:
             LOG.info(
                 "reservation_unwitnessed",
-                request=entry.request,
-                reservation=entry.reservation,
+                request=reservation.request,
+                reservation=reservation.reservation,
                 live=len(self._members.live()),
             )
 
--- a/rowanport/ledger/place.py
+++ b/rowanport/ledger/shard_state.py
@@ -1,7 +1,7 @@
 """One ledger shard at one router."""
 
 
-class Place:
+class ShardState:
     """One shard at this router: its holder and when to write next.
 
     :ivar data: the shard as last read or written
@@ -23,13 +23,13 @@
         "last_sync",
         "next_sync",
         "next_read",
-        "task",
+        "sync_task",
         "home_until",
         "dead_since",
-        "count",
+        "holder_number",
     )
 
-    def __init__(self, shard, holder, count):
+    def __init__(self, shard, holder, holder_number):
         self.shard = shard
         self.holder = holder
         self.data = b""
@@ -37,12 +37,12 @@
         self.last_sync = 0.0
         self.next_sync = 0.0
         self.next_read = 0.0
-        self.task = None
+        self.sync_task = None
         self.home_until = 0.0
         self.dead_since = {}
-        self.count = count
+        self.holder_number = holder_number
 
     @property
     def syncing(self):
         """Return whether a round with the store is under way."""
-        return self.task is not None and not self.task.done()
+        return self.sync_task is not None and not self.sync_task.done()
--- a/rowanport/ledger/sizing.py
+++ b/rowanport/ledger/sizing.py
@@ -40,7 +40,7 @@
             return 0
         return min(free, max(need, target - max(available, 0)))
 
-    def surplus(self, free, unspent, available, demand, wanted):
+    def excess(self, free, unspent, available, demand, wanted):
         """Return how many tokens to give back to the shard.
 
         :param wanted: whether another holder marked the budget as wanted
--- a/rowanport/ledger/unsettled.py
+++ b/rowanport/ledger/unsettled.py
@@ -4,17 +4,17 @@
 word or for a write; each of these has another remedy.
 """
 
-OWN = "entry"
-HELD = "home"
-WITNESSED = "witness"
+ROLE_ENTRY = "entry"
+ROLE_HOME = "home"
+ROLE_WITNESS = "witness"
 
-ASKING = "its home has not answered"
+AWAITING_HOME = "its home has not answered"
 NOT_STARTED = "its run has not started"
 RUNNING = "its run is under way"
 UNWRITTEN = "its bill is not written"
 ENTRY_ALIVE = "its entry is alive"
 NO_UPSTREAM = "its entry is dead and named no upstream"
-UPSTREAM_ASKED = "its entry is dead and its upstream is asked"
+QUERYING_UPSTREAM = "its entry is dead and its upstream is asked"
 
 
 class UnsettledItem:
@@ -59,37 +59,39 @@
         return value
 
 
-def item_of_entry(entry, is_alive):
+def item_of_open_reservation(reservation, is_alive):
     """Return the UnsettledItem of an OpenReservation.
 
     :param is_alive: function of a holder
     """
-    role = WITNESSED if entry.witnessed else OWN
-    peer = entry.holder or entry.home
-    return UnsettledItem(entry, role, peer, _entry_reason(entry, is_alive))
+    role = ROLE_WITNESS if reservation.witnessed else ROLE_ENTRY
+    peer = reservation.holder or reservation.home
+    return UnsettledItem(
+        reservation, role, peer, _open_reason(reservation, is_alive)
+    )
 
 
-def _entry_reason(entry, is_alive):
-    if entry.settlement is not None:
+def _open_reason(reservation, is_alive):
+    if reservation.settlement is not None:
         return UNWRITTEN
-    if entry.witnessed:
-        return _orphan_reason(entry, is_alive(entry.holder))
-    if not entry.usable:
-        return ASKING
-    return RUNNING if entry.upstream else NOT_STARTED
+    if reservation.witnessed:
+        return _orphan_reason(reservation, is_alive(reservation.holder))
+    if not reservation.usable:
+        return AWAITING_HOME
+    return RUNNING if reservation.upstream else NOT_STARTED
 
 
-def item_of_reservation(reservation, is_alive):
+def item_of_held_reservation(reservation, is_alive):
     """Return the UnsettledItem of a Reservation at its home.
 
     :param is_alive: function of an incarnation
     """
     alive = is_alive(reservation.entry)
     reason = _orphan_reason(reservation, alive)
-    return UnsettledItem(reservation, HELD, reservation.entry, reason)
+    return UnsettledItem(reservation, ROLE_HOME, reservation.entry, reason)
 
 
 def _orphan_reason(source, alive):
     if alive:
         return ENTRY_ALIVE
-    return UPSTREAM_ASKED if source.upstream else NO_UPSTREAM
+    return QUERYING_UPSTREAM if source.upstream else NO_UPSTREAM
--- a/rowanport/ledger/witnessing.py
+++ b/rowanport/ledger/witness_client.py
@@ -10,17 +10,17 @@
 from ..schema.messages import Ack
 from ..schema.messages import Witness
 from ..schema.messages import WitnessEnd
-from .witnesses import WitnessChoice
+from .witness_selector import WitnessSelector
 
 LOG = structlog.get_logger(__name__)
 WITNESS_TIMEOUT = 0.3
 SHORT_TIMEOUT = 1.0
 # Seconds between two tries to tell a witness that a reservation has ended: a
 # paused witness holds nobody up, and a dead one is not called in a loop.
-UNTOLD_PAUSE = 1.0
+END_RETRY_INTERVAL = 1.0
 
 
-class Witnessing:
+class WitnessClient:
     """Has other routers remember what this one set aside for itself.
 
     :param incarnation: incarnation of this router
@@ -36,15 +36,15 @@
         self._book = book
         self._peers = peers
         self._members = members
-        self._choice = WitnessChoice(incarnation, members)
-        self._untold = set()
+        self._selector = WitnessSelector(incarnation, members)
+        self._pending_ends = set()
 
     @property
-    def untold(self):
+    def pending_ends(self):
         """Return how many ends some witness has yet to be told."""
-        return len(self._untold)
+        return len(self._pending_ends)
 
-    def choose(self, home, silent):
+    def choose(self, home, unresponsive):
         """Return who is to remember a reservation, or None.
 
         :param home: who sets it aside; another home needs no witness
@@ -52,22 +52,22 @@
         """
         if home != self._incarnation:
             return None
-        return self._choice.choose(silent)
+        return self._selector.choose(unresponsive)
 
     # Telling
 
-    async def ask(self, entry, witness):
+    async def register(self, reservation, witness):
         """Have a witness remember a reservation; return whether it does."""
         # Noted first: it has to be told the end even if its answer is lost.
-        entry.asked.append(witness)
+        reservation.asked_witnesses.append(witness)
         message = Witness(
-            entry.request,
-            entry.reservation,
-            entry.budget,
-            entry.tokens,
-            entry.deadline,
-            entry.holder,
-            entry.upstream,
+            reservation.request,
+            reservation.reservation,
+            reservation.budget,
+            reservation.tokens,
+            reservation.deadline,
+            reservation.holder,
+            reservation.upstream,
         )
         try:
             answer = await self._peers.call(
@@ -76,8 +76,8 @@
         except PeerError as error:
             LOG.info(
                 "witness_silent",
-                request=entry.request,
-                reservation=entry.reservation,
+                request=reservation.request,
+                reservation=reservation.reservation,
                 witness=witness,
                 error=str(error),
             )
@@ -86,10 +86,10 @@
         if not isinstance(answer, Ack):
             # It took part in recovering this home, believed dead.
             return False
-        entry.witness = witness
+        reservation.witness = witness
         return True
 
-    async def end(self, entry):
+    async def unregister(self, reservation):
         """Have all witnesses forget, so that none presumes it spent.
 
         A witness that seems dead may only be paused or cut off: it keeps the
@@ -97,30 +97,33 @@
         back, as long as members remember it.
         """
         await asyncio.gather(
-            *(self._end_one(entry, witness) for witness in entry.asked)
+            *(
+                self._unregister_one(reservation, witness)
+                for witness in reservation.asked_witnesses
+            )
         )
 
-    async def _end_one(self, entry, witness):
-        key = (entry.reservation, witness)
-        if self._is_awaited(entry, witness):
-            self._untold.add(key)
+    async def _unregister_one(self, reservation, witness):
+        key = (reservation.reservation, witness)
+        if self._awaits_witness(reservation, witness):
+            self._pending_ends.add(key)
         try:
-            await self._tell_end(entry, witness)
+            await self._send_end(reservation, witness)
         finally:
-            self._untold.discard(key)
+            self._pending_ends.discard(key)
 
-    def _is_awaited(self, entry, witness):
+    def _awaits_witness(self, reservation, witness):
         """Return whether a reservation is unsettled until a witness knows.
 
         Not if it is billed and the witness is of another cell: the shard
         refuses to presume it spent besides, and after a kill of the witness
         the books would stay open for as long as members remember it.
         """
-        near = cell_of(witness) == cell_of(self._incarnation)
-        return near or not entry.settlement.tokens
+        local = cell_of(witness) == cell_of(self._incarnation)
+        return local or not reservation.settlement.tokens
 
-    async def _tell_end(self, entry, witness):
-        message = WitnessEnd(entry.reservation)
+    async def _send_end(self, reservation, witness):
+        message = WitnessEnd(reservation.reservation)
         while self._members.is_known(witness):
             try:
                 await self._peers.call(
@@ -128,39 +131,39 @@
                 )
                 return
             except PeerError:
-                await asyncio.sleep(UNTOLD_PAUSE)
+                await asyncio.sleep(END_RETRY_INTERVAL)
 
     # Replacing
 
-    def unwatched(self):
+    def unwitnessed(self):
         """Return own reservations that no live witness remembers."""
         return [
-            entry
-            for entry in self._book
-            if entry.usable
-            and entry.home == self._incarnation
-            and not self._is_watched(entry)
+            reservation
+            for reservation in self._book
+            if reservation.usable
+            and reservation.home == self._incarnation
+            and not self._has_live_witness(reservation)
         ]
 
-    def _is_watched(self, entry):
-        if entry.witness is None:
+    def _has_live_witness(self, reservation):
+        if reservation.witness is None:
             return False
-        return self._members.is_alive(entry.witness)
+        return self._members.is_alive(reservation.witness)
 
-    async def replace(self, entry):
+    async def replace(self, reservation):
         """Have another router remember a run whose witness died.
 
         Were this router killed too, nobody alive would know of the run.
         """
-        witness = self._choice.choose(set())
-        if witness is None or entry.reservation not in self._book:
+        witness = self._selector.choose(set())
+        if witness is None or reservation.reservation not in self._book:
             return
-        if not await self.ask(entry, witness):
+        if not await self.register(reservation, witness):
             return
         LOG.info(
             "witness_replaced",
-            request=entry.request,
-            reservation=entry.reservation,
+            request=reservation.request,
+            reservation=reservation.reservation,
             witness=witness,
         )
-        self._keeper.rename_entry(entry)
+        self._keeper.rename_entry(reservation)
--- a/rowanport/ledger/witnesses.py
+++ b/rowanport/ledger/witness_selector.py
@@ -9,7 +9,7 @@
 from ..membership.members import READY
 
 
-class WitnessChoice:
+class WitnessSelector:
     """Names the witnesses of one router.
 
     :param incarnation: incarnation of this router
@@ -31,12 +31,12 @@
 
         :param failed: witnesses that did not answer for this request
         """
-        near = self._members.witness()
-        if near is not None:
-            return near
-        if not all(map(self._is_near, failed)):
+        local = self._members.witness()
+        if local is not None:
+            return local
+        if not all(map(self._is_local, failed)):
             return None
-        return self._far_witness()
+        return self._remote_witness()
 
     def entries(self):
         """Return the incarnations that may reserve at this router."""
@@ -44,17 +44,17 @@
         if entries != [self._incarnation]:
             return entries
         # Listed beforehand, or each request after a pause waits for a write.
-        far = self._far_witness()
-        return [*entries, far] if far is not None else entries
+        remote = self._remote_witness()
+        return [*entries, remote] if remote is not None else entries
 
-    def _far_witness(self):
+    def _remote_witness(self):
         names = [
             entry.incarnation
             for entry in self._members.live()
-            if entry.state == READY and not self._is_near(entry.incarnation)
+            if entry.state == READY and not self._is_local(entry.incarnation)
         ]
         order = rendezvous(self._incarnation, names)
         return order[0] if order else None
 
-    def _is_near(self, incarnation):
+    def _is_local(self, incarnation):
         return cell_of(incarnation) == cell_of(self._incarnation)
--- a/test/test_ledger.py
+++ b/test/test_ledger.py
@@ -34,7 +34,7 @@
 from rowanport.ledger.orphans import RunUnknown
 from rowanport.ledger.recoverer import Recoverer
 from rowanport.ledger.sizing import Sizing
-from rowanport.ledger.witnessing import Witnessing
+from rowanport.ledger.witness_client import WitnessClient
 from rowanport.schema.messages import Attested
 from rowanport.schema.messages import BillEntry
 from rowanport.schema.messages import HolderRecord
@@ -255,7 +255,7 @@
     async def ask(self, peer, message):
         return Attested(peer, {})
 
-    with mock.patch.object(Recoverer, "_ask_attest", ask):
+    with mock.patch.object(Recoverer, "_request_attestation", ask):
         yield
 
 
@@ -278,11 +278,11 @@
 def stale_record_under_a_new_version():
     read = LedgerKeeper._read
 
-    async def careless(self, place):
-        before = place.data
-        await read(self, place)
-        if place.holder.in_flight is not None and before:
-            place.data = before
+    async def careless(self, state):
+        before = state.data
+        await read(self, state)
+        if state.holder.in_flight is not None and before:
+            state.data = before
 
     with mock.patch.object(LedgerKeeper, "_read", careless):
         yield
@@ -294,7 +294,7 @@
 
     def trusting(self, name):
         outstanding = attest(self, name)
-        self._shunned.discard(name)
+        self._fenced.discard(name)
         return outstanding
 
     def book_attest(self, name):
@@ -561,16 +561,16 @@
 
 @contextlib.contextmanager
 def replaced_witness_told_of_no_upstream():
-    ask = Witnessing.ask
+    register = WitnessClient.register
 
     async def forgetful(self, entry, witness):
         upstream, entry.upstream = entry.upstream, ""
         try:
-            return await ask(self, entry, witness)
+            return await register(self, entry, witness)
         finally:
             entry.upstream = upstream
 
-    with mock.patch.object(Witnessing, "ask", forgetful):
+    with mock.patch.object(WitnessClient, "register", forgetful):
         yield
 
 
@@ -617,9 +617,9 @@
     book = ReservationBook("cell/10.0.0.1:1/a", str)
     late = Witness("request", "late", BUDGET, 60, 9.0, "dead~1", "")
     early = Witness("request", "early", BUDGET, 40, 9.0, "dead~1", "")
-    assert book.witness(early, 1.0)
+    assert book.add_witnessed(early, 1.0)
     assert book.attest("dead~1") == {BUDGET: 40}
-    assert not book.witness(late, 1.0)
+    assert not book.add_witnessed(late, 1.0)
     assert book.attest("dead~1") == {BUDGET: 40}
 
 
@@ -1156,19 +1156,23 @@
         world.advance(1.0)
         holder_id = home.keeper.places()[0].holder
         name = entry.incarnation
-        own = [(unsettled.OWN, holder_id, unsettled.NOT_STARTED)]
+        own = [(unsettled.ROLE_ENTRY, holder_id, unsettled.NOT_STARTED)]
         assert reasons(entry.client.unsettled_items()) == own
         held = home.keeper.unsettled_items()
-        assert reasons(held) == [(unsettled.HELD, name, unsettled.ENTRY_ALIVE)]
+        assert reasons(held) == [
+            (unsettled.ROLE_HOME, name, unsettled.ENTRY_ALIVE)
+        ]
         shown = held[0].as_dict(world.loop.now)
         assert 0.5 < shown["age"] <= 1.0
         assert 28.5 < shown["seconds_left"] <= 29.5
         assert start(world, entry, asked.result())
-        own = [(unsettled.OWN, holder_id, unsettled.RUNNING)]
+        own = [(unsettled.ROLE_ENTRY, holder_id, unsettled.RUNNING)]
         assert reasons(entry.client.unsettled_items()) == own
         world.kill(entry)
         held = reasons(home.keeper.unsettled_items())
-        assert held == [(unsettled.HELD, name, unsettled.UPSTREAM_ASKED)]
+        assert held == [
+            (unsettled.ROLE_HOME, name, unsettled.QUERYING_UPSTREAM)
+        ]
     finally:
         world.close()
 
