--- a/test/world.py
+++ b/test/world.py
@@ -8,7 +8,6 @@
 import random
 from test.virtual import LoopClock
 from test.virtual import VirtualLoop
-
 from rowanport.errors import ErrorKind
 from rowanport.errors import PeerError
 from rowanport.errors import PeerGone
@@ -22,12 +21,12 @@
 from rowanport.incarnation import incarnation_of
 from rowanport.ledger import LedgerKeeper
 from rowanport.ledger import ReservationBook
-from rowanport.ledger.allowance import Allowance
 from rowanport.ledger.client import LedgerClient
 from rowanport.ledger.editor import BudgetEditor
 from rowanport.ledger.keeper import read_shard
 from rowanport.ledger.keeper import shard_key
 from rowanport.ledger.orphans import RunUnknown
+from rowanport.ledger.write_limiter import WriteLimiter
 from rowanport.membership.members import READY
 from rowanport.metrics import Metrics
 from rowanport.schema.messages import Ack
@@ -234,7 +233,7 @@
             members,
             self.book,
             settings,
-            Allowance(1000.0),
+            WriteLimiter(1000.0),
             clock,
             METRICS,
             world.resolve,
