--- a/bench/engines/fleet.py
+++ b/bench/engines/fleet.py
@@ -12,9 +12,9 @@
 from rowanport.gateway.choice import PrefixChoice
 from rowanport.gateway.job import Job
 from rowanport.gateway.job import Tokens
-from rowanport.gateway.loads import LoadNotes
+from rowanport.gateway.load_sync import LoadSync
 from rowanport.gateway.pool import UpstreamPool
-from rowanport.gateway.prefixes import PrefixMap
+from rowanport.gateway.prefix_map import PrefixMap
 from rowanport.gateway.store_watchers import store_watchers
 from rowanport.gateway.upstream import Upstream
 from rowanport.gateway.views import POLL_INTERVAL
@@ -143,17 +143,17 @@
         self.pool.update(fleet.records)
         prefixes = PrefixMap()
         self.choice = PrefixChoice(self._data_centre, prefixes)
-        self.notes = LoadNotes(
+        self.notes = LoadSync(
             self.pool, prefixes, self, self, str(self.name), fleet.timeline
         )
 
-    # What LoadNotes asks of members and peers
+    # What LoadSync asks of members and peers
 
-    def ready_others(self):
+    def ready_peers(self):
         """Return the incarnations of the other routers."""
         return [f"r/{n}/1" for n in range(self._fleet.size) if n != self.name]
 
-    others = ready_others
+    live_peers = ready_peers
 
     def delegates(self, kind, least, share):
         """Return the addresses of the routers that do something for all."""
@@ -165,7 +165,7 @@
         at = self._fleet.timeline.now + TRIP
         for address in list(addresses):
             other = self._fleet.routers[int(address)]
-            hear = other.notes.hear
+            hear = other.notes.receive
             self._fleet.timeline.schedule(at, lambda _now, f=hear: f(note))
 
     def ask(self, now):
@@ -173,12 +173,12 @@
         timeline = self._fleet.timeline
         if now < self._fleet.ends_at:
             timeline.schedule(now + POLL_INTERVAL, self.ask)
-        seconds = self.notes.begin_asking()
+        seconds = self.notes.advance_poll_window()
         if seconds:
             address = self._fleet.draw_one(store_watchers(self))
             answering = self._fleet.routers[int(address)].notes
-            for note in answering.heard(seconds, str(self.name)):
-                self.notes.take(note)
+            for note in answering.recent(seconds, str(self.name)):
+                self.notes.apply(note)
 
 
 class Fleet:
@@ -291,8 +291,8 @@
     def _send(self, router, candidates, request, parts, answer, now):
         job = request.job
         state = router.choice.choose(candidates, job, now)
-        unread = router.choice.unread(state, job, now)
-        ahead = router.notes.note_send(state, job.prefix, unread)
+        unread = router.choice.uncached_tokens(state, job, now)
+        ahead = router.notes.record_send(state, job.prefix, unread)
         state.outstanding += 1
         run = Run(
             parts,
@@ -327,7 +327,7 @@
         job = request.job
         if request.first is None:
             request.first = now + late - job.arrived
-            state.backlog.note_first_event(ahead, request.first, now)
+            state.backlog.record_first_event(ahead, request.first, now)
         job.record_events([_EVENT], now)
         request.pause = job.longest_pause
 
--- a/rowanport/gateway/daemon.py
+++ b/rowanport/gateway/daemon.py
@@ -26,20 +26,20 @@
 from .blocklist import Blocklist
 from .choice import NearestChoice
 from .choice import PrefixChoice
-from .congestion import Congestion
-from .crashes import CrashGuard
+from .congestion import CongestionDetector
+from .crash_guard import CrashGuard
 from .exchange import Exchange
 from .fingerprint import Fingerprints
 from .forwarder import Forwarder
 from .health import HealthFront
 from .job import Admission
-from .limits import RateLimits
-from .loads import LoadNotes
+from .load_sync import LoadSync
 from .metrics import GatewayMetrics
 from .pool import UpstreamPool
-from .prefixes import PrefixMap
+from .prefix_map import PrefixMap
+from .rate_limits import RateLimits
 from .refusals import Refusals
-from .retries import RetryWindow
+from .retry_window import RetryWindow
 from .settings import split_address
 from .stopping import Stopping
 from .store_watchers import update_recipients
@@ -121,7 +121,7 @@
             lambda instances: None,
         )
         clocks = FleetClocks(self.clock)
-        self.congestion = Congestion(self.clock)
+        self.congestion = CongestionDetector(self.clock)
         self._views = Views(
             decode,
             self.members,
@@ -175,7 +175,7 @@
             self.clock,
             self.metrics,
         )
-        self._views.crashes = self.crashes.news
+        self._views.crashes = self.crashes.sync
         self._blocklist = Blocklist(
             self._store,
             self.crashes,
@@ -183,8 +183,8 @@
             settings.peers,
             self.clock,
         )
-        self.crashes.on_verdict = self._blocklist.note_change
-        self.crashes.on_answered = self._blocklist.note_answered
+        self.crashes.on_blocklist_change = self._blocklist.on_blocked
+        self.crashes.on_blocked_answered = self._blocklist.on_blocked_answered
         self.refusals = Refusals(self.clock)
         self.stopping = Stopping(self.members, self.clock)
         self.forwarder = Forwarder(self)
@@ -192,7 +192,7 @@
         self._prefixes = prefixes = PrefixMap()
         self._prefix_choice = PrefixChoice(settings.data_centre, prefixes)
         self._nearest_choice = NearestChoice(settings.data_centre)
-        self.loads = self._views.loads = LoadNotes(
+        self.loads = self._views.loads = LoadSync(
             self.pool,
             prefixes,
             self._peers,
@@ -231,7 +231,7 @@
         """
         if self._loops.failing or self._views.freshness.stale:
             return False
-        return self.members.own.state == READY
+        return self.members.own_entry.state == READY
 
     def loop_silences(self):
         """Return by loop the seconds since it was last heard of."""
@@ -243,7 +243,7 @@
 
     def unread(self, state, job, now):
         """Return the prompt tokens that an engine has to read of a job."""
-        return self._prefix_choice.unread(state, job, now)
+        return self._prefix_choice.uncached_tokens(state, job, now)
 
     def retries(self, service):
         """Return the RetryWindow of a service."""
@@ -271,10 +271,10 @@
 
     def _apply_upstreams(self, upstreams):
         for name in self.pool.update(upstreams.upstreams):
-            self._prefixes.forget(name)
+            self._prefixes.remove_engine(name)
             LOG.info("upstream_restarted", upstream=name)
         listed = upstreams.upstreams.values()
-        self.limits.keep({upstream.run.name for upstream in listed})
+        self.limits.retain({upstream.run.name for upstream in listed})
 
     # Peers
 
@@ -285,10 +285,10 @@
             messages.Gossip: self.members.receive,
             messages.ViewAsk: self._views.handle,
             messages.UpstreamNews: self._views.hear_news,
-            messages.LoadNote: self.loads.hear,
-            messages.SuspectNews: self.crashes.news.hear,
-            messages.SuspectRun: self.crashes.news.hear_run,
-            messages.LimitNews: self.limits.hear_news,
+            messages.LoadNote: self.loads.receive,
+            messages.SuspectNews: self.crashes.sync.receive,
+            messages.SuspectRun: self.crashes.sync.receive_run,
+            messages.LimitNews: self.limits.receive,
             messages.PermitAsk: self.limits.grant,
         }
 
@@ -374,11 +374,11 @@
         self._server.drain()
         self.forwarder.bound_open()
         LOG.info("gateway_stopping", busy=self._server.busy)
-        self.budgets.keep(self.stopping.unmade)
+        self.budgets.withhold(self.stopping.unmade)
         await self._hand_over()
         await self._finish_requests()
         self.stopping.close()
-        self.budgets.keep({})
+        self.budgets.withhold({})
         await self._hand_over()
         await self._server.finish(self._last_wait(), self._time_to_cut)
         LOG.info(
@@ -392,7 +392,7 @@
     async def _hand_over(self):
         """Pass tokens on; an error must not end answers that are in hand."""
         try:
-            await self.budgets.hand_over()
+            await self.budgets.hand_off()
         except Exception:
             LOG.exception("hand_over_failed")
 
--- a/rowanport/gateway/freshness_tracker.py
+++ b/rowanport/gateway/freshness_tracker.py
@@ -69,14 +69,14 @@
         routers, such an outage cannot be told from a failure of this router's
         own link.
         """
-        if not self._members.knows_others:
+        if not self._members.knows_peers:
             return True
         return self.store_availability.may_have_expired(self._clock.steady())
 
     @property
     def peers_responsive(self):
         """Return whether peers answer promptly, True if there are none."""
-        if not self._members.knows_others:
+        if not self._members.knows_peers:
             return True
         return self._clock.steady() <= self._peer_contact_at + CONTACT_LIMIT
 
@@ -97,7 +97,7 @@
     @property
     def aging(self):
         """Return whether the views need to be confirmed soon."""
-        if not self._members.knows_others:
+        if not self._members.knows_peers:
             return False
         self._confirm_from_watches()
         return self._age.is_aging(self._clock.steady())
@@ -105,7 +105,7 @@
     @property
     def current(self):
         """Return the Freshness of the views."""
-        if not self._members.knows_others:
+        if not self._members.knows_peers:
             # No other router could know anything newer.
             return Freshness.LATEST_KNOWN
         self._confirm_from_watches()
--- a/rowanport/gateway/pool.py
+++ b/rowanport/gateway/pool.py
@@ -1,7 +1,7 @@
 """This router's state of each upstream, and which upstreams take requests."""
 
 from .backlog import Backlog
-from .pacing import Pacing
+from .stream_pauses import StreamPauses
 
 # Consecutive failures after which an upstream is ejected, and for how many
 # seconds.  A failed connection counts as two failures.
@@ -20,7 +20,7 @@
     :ivar record: the Upstream as listed
     :ivar outstanding: requests of this router that run there
     :ivar backlog: the Backlog of prompt tokens that it has not processed
-    :ivar pacing: the Pacing, which tells how evenly its streams arrive
+    :ivar pacing: the StreamPauses, which tells how evenly its streams arrive
     :ivar failures: consecutive failures
     :ivar ejected_until: monotonic time until which it gets no requests
     :ivar crashed_until: the same after a crash
@@ -40,7 +40,7 @@
         self.record = record
         self.outstanding = 0
         self.backlog = Backlog()
-        self.pacing = Pacing()
+        self.pacing = StreamPauses()
         self.failures = 0
         self.ejected_until = 0.0
         self.crashed_until = 0.0
--- a/rowanport/gateway/sender.py
+++ b/rowanport/gateway/sender.py
@@ -13,8 +13,8 @@
 from .relay import EventRelay
 from .relay import is_stream
 from .relay import WholeRelay
-from .repeats import give_up
-from .repeats import RepeatRefused
+from .retry_policy import final_error
+from .retry_policy import RetryRefused
 
 # Part of the remaining time after which a repeatable request that has no
 # answer is sent to another upstream as well.
@@ -34,7 +34,7 @@
 
     :param gateway: the Gateway, for its parts
     :param log: the DecisionLog
-    :param repeats: the Repeats
+    :param repeats: the RetryPolicy
     :param job: the Job
     :param responder: the Responder of its caller
     """
@@ -60,7 +60,7 @@
                 attempt = await self._step(attempt)
             attempt.state.record_success()
             run = attempt.state.record.run
-            self._crashes.note_whole(self._job, run)
+            self._crashes.record_success(self._job, run)
             self._log.note_answered()
         finally:
             for attempt in self._attempts:
@@ -80,7 +80,7 @@
             return attempt
         except UpstreamError as error:
             self._drop(attempt, error)
-            self._repeats.check_again(self._job, self._responder, error)
+            self._repeats.check_retry(self._job, self._responder, error)
             return await self._begin_admitted()
 
     async def _advances(self, attempt):
@@ -109,7 +109,7 @@
 
     @property
     def _can_run_again(self):
-        return self._repeats.can_run_again(self._job, self._responder)
+        return self._repeats.may_retry(self._job, self._responder)
 
     # Sends
 
@@ -123,7 +123,7 @@
         await self._crashes.admit(self._job)
         while True:
             state = self._choose()
-            if await self._gateway.limits.take(state):
+            if await self._gateway.limits.acquire(state):
                 return self._begin(state)
 
     def _begin(self, state):
@@ -134,7 +134,7 @@
         # Counted at once, so that others of this moment go elsewhere.
         ahead = self._note_load(state)
         opening = asyncio.ensure_future(self._open(state, ahead))
-        flight = self._crashes.begin(job, state)
+        flight = self._crashes.start_run(job, state)
         attempt = Attempt(state, opening, self._relay, flight)
         self._attempts.append(attempt)
         self._note_sign(attempt)
@@ -155,21 +155,21 @@
         """Return the candidates that surely take requests now."""
         try:
             self._gateway.views.freshness.check()
-            return self._gateway.limits.open(candidates, now)
+            return self._gateway.limits.with_permits(candidates, now)
         except RequestError as error:
             if self._job.runs:
-                raise give_up(self._job, UpstreamError(error.detail))
+                raise final_error(self._job, UpstreamError(error.detail))
             raise
 
     def _choose_among(self, candidates):
         gateway, job = self._gateway, self._job
         now = self._clock.steady()
         if not candidates:
-            raise give_up(job, UpstreamError("no upstream is left"))
+            raise final_error(job, UpstreamError("no upstream is left"))
         choice = gateway.choice(job.tokens is not None)
         if not job.sends:
             self._check_in_time(choice, candidates, now)
-        candidates = self._crashes.place(job, candidates, now)
+        candidates = self._crashes.isolate(job, candidates, now)
         state = choice.choose(candidates, job, now)
         job.backlog = round(state.backlog.tokens(now))
         return state
@@ -201,7 +201,7 @@
         )
         if is_stream(answer):
             now = self._clock.steady()
-            state.backlog.note_first_event(ahead, now - sent_at, now)
+            state.backlog.record_first_event(ahead, now - sent_at, now)
         return answer
 
     def _check_last(self, state):
@@ -225,7 +225,7 @@
         if job.tokens is None:
             return 0
         unread = gateway.unread(state, job, self._clock.steady())
-        return gateway.loads.note_send(state, job.prefix, unread)
+        return gateway.loads.record_send(state, job.prefix, unread)
 
     def _relay(self, answer):
         """Return the Relay of an HttpAnswer."""
@@ -239,7 +239,7 @@
         job.tried.add(state.record.run)
         if not error.started:
             job.runs -= 1
-            self._repeats.give_back(job, attempt.tokens)
+            self._repeats.release_hedge(job, attempt.tokens)
         if isinstance(error, UpstreamLeft):
             job.sends -= 1
             self._log.note_send(job, state, "left", error)
@@ -255,7 +255,7 @@
         :param error: the UpstreamError that ended it, or None
         """
         if not attempt.closed:
-            self._crashes.finish(attempt.flight, error)
+            self._crashes.finish_run(attempt.flight, error)
             attempt.close()
 
     def _note_rejection(self, state, error):
@@ -314,7 +314,7 @@
             self._drop,
         )
         winner = await race.run()
-        self._close_losers(race.racers, winner)
+        self._close_losers(race.attempts, winner)
         self._job.upstream = winner.state.record.id
         if winner.usable:
             self._note_sign(winner)
@@ -330,12 +330,12 @@
         job = self._job
         job.tried.add(silent.state.record.run)
         try:
-            tokens = self._repeats.take_beside(job, self._responder)
-        except RepeatRefused as refusal:
+            tokens = self._repeats.reserve_hedge(job, self._responder)
+        except RetryRefused as refusal:
             self._note_silence(silent, str(refusal))
             silent.stalled_at = self._clock.steady() + ASK_AGAIN
             return None
-        state = self._choose_among(self._repeats.candidates_beside(job))
+        state = self._choose_among(self._repeats.hedge_candidates(job))
         other = self._begin(state)
         other.tokens = tokens
         name = other.state.record.id
--- a/rowanport/gateway/store_watchers.py
+++ b/rowanport/gateway/store_watchers.py
@@ -29,7 +29,7 @@
     :param members: the Membership
     :param address: this router's peer address
     """
-    others = members.others()
+    others = members.live_peers()
     if len(others) > FULL_MESH_LIMIT:
         return [peer for peer in store_watchers(members) if peer != address]
     return [address_of(other) for other in others]
--- a/rowanport/membership/members.py
+++ b/rowanport/membership/members.py
@@ -26,7 +26,7 @@
 DELEGATES_WELL_HEARD = 32
 # Listed routers that are told at once when they are not known yet: all of a
 # fleet as large as today's.
-GREETINGS = 8
+MAX_ANNOUNCEMENTS = 8
 # The kind of duty for the fleet that needs the store: following it and drawing
 # tokens.  Those that do the latter are listed as they do the former.
 STORE_DUTY = "store"
@@ -99,7 +99,7 @@
     # Own entry
 
     @property
-    def own(self):
+    def own_entry(self):
         """Return this router's own entry."""
         return self._own
 
@@ -140,13 +140,13 @@
         message = self._message()
         return [(address, message) for address in self._targets()]
 
-    def greetings(self):
+    def announcements(self):
         """Return (address, Gossip) pairs for listed routers not known yet.
 
         A router that just started hears of the others a round earlier.
         """
         unknown = sorted(self._unknown_seeds())
-        count = min(GREETINGS, len(unknown))
+        count = min(MAX_ANNOUNCEMENTS, len(unknown))
         message = self._message()
         chosen = self._random.sample(unknown, count)
         return [(address, message) for address in chosen]
@@ -307,9 +307,9 @@
             for name, member in self._members.items()
         )
 
-    def is_unheard(self, address):
+    def is_presumed_live(self, address):
         """Return whether a listed router was not heard of since the start."""
-        return address in self._unheard()
+        return address in self._presumed_live()
 
     def suspect(self, incarnation):
         """Take a router for dead until its counter rises again."""
@@ -325,19 +325,19 @@
                 self.suspect(name)
 
     @property
-    def knows_others(self):
+    def knows_peers(self):
         """Return whether another router of the cell is remembered."""
         return any(member.near for member in self._members.values())
 
     def entries(self):
         """Return the incarnations of the cell that may ask for tokens."""
-        others = self.others()
+        others = self.live_peers()
         if others:
             return others
         # Alone in the cell, a home serves its own entry unwitnessed.
         return [self._incarnation]
 
-    def others(self):
+    def live_peers(self):
         """Return the other live incarnations of the cell."""
         return [
             member.entry.incarnation
@@ -345,13 +345,13 @@
             if member.near
         ]
 
-    def ready_others(self):
+    def ready_peers(self):
         """Return the other live and ready incarnations of the cell."""
-        ready = self._ready_others()
+        ready = self._ready_peers()
         self._random.shuffle(ready)
         return ready
 
-    def _ready_others(self):
+    def _ready_peers(self):
         return [
             member.entry.incarnation
             for member in self._fresh_members()
@@ -360,7 +360,7 @@
 
     def some(self, count):
         """Return some live incarnations, of this and of other cells."""
-        near = self.others()
+        near = self.live_peers()
         far = [
             member.entry.incarnation
             for member in self._fresh_members()
@@ -371,7 +371,7 @@
 
     def witness(self):
         """Return the router that witnesses this one's own reservations."""
-        ready = self._ready_others()
+        ready = self._ready_peers()
         if not ready:
             return None
         return rendezvous(self._incarnation, ready)[0]
@@ -381,7 +381,7 @@
         key = f"{kind}/{shard}"
         order = self._homes.get(key)
         if order is None:
-            ready = self._ready_others()
+            ready = self._ready_peers()
             if self._own.state == READY:
                 ready.append(self._incarnation)
             order = rendezvous(key, ready) or [self._incarnation]
@@ -426,12 +426,12 @@
             and member.seen > limit
             and member.entry.state != LEAVING
         }
-        addresses |= self._unheard()
+        addresses |= self._presumed_live()
         if self._own.state != LEAVING:
             addresses.add(self._address)
         return addresses
 
-    def _unheard(self):
+    def _presumed_live(self):
         """Return the listed addresses of which nothing was heard yet.
 
         For a while after the start their routers are taken for live.  Where
--- a/test/test_choice.py
+++ b/test/test_choice.py
@@ -5,19 +5,19 @@
 import pytest
 
 from rowanport.gateway import backlog
-from rowanport.gateway import pacing
+from rowanport.gateway import stream_pauses
 from rowanport.gateway.backlog import Backlog
 from rowanport.gateway.backlog import DEFAULT_RATE
 from rowanport.gateway.choice import NearestChoice
 from rowanport.gateway.choice import PrefixChoice
 from rowanport.gateway.job import Job
 from rowanport.gateway.job import Tokens
-from rowanport.gateway.loads import LoadNotes
-from rowanport.gateway.loads import NOTE_LEAST
-from rowanport.gateway.loads import NOTES_A_SECOND
+from rowanport.gateway.load_sync import ANNOUNCEMENTS_PER_SECOND
+from rowanport.gateway.load_sync import LoadSync
+from rowanport.gateway.load_sync import MIN_ANNOUNCED_TOKENS
 from rowanport.gateway.pool import UpstreamPool
-from rowanport.gateway.prefixes import KEEP_SECONDS
-from rowanport.gateway.prefixes import PrefixMap
+from rowanport.gateway.prefix_map import KEEP_SECONDS
+from rowanport.gateway.prefix_map import PrefixMap
 from rowanport.gateway.upstream import Upstream
 from rowanport.hashing import hash_of
 from rowanport.hashing import rendezvous
@@ -52,7 +52,7 @@
     def tell(self, addresses, note):
         for address in addresses:
             self.told.append(note)
-            self.routers[address].notes.hear(note)
+            self.routers[address].notes.receive(note)
 
 
 class FakeMembers:
@@ -60,10 +60,10 @@
         self._others = others
         self._own = own
 
-    def ready_others(self):
+    def ready_peers(self):
         return list(self._others)
 
-    others = ready_others
+    live_peers = ready_peers
 
     def delegates(self, kind, least, share):
         names = [self._own, *map(address_of, self._others)]
@@ -86,7 +86,7 @@
         )
         self.prefixes = PrefixMap()
         self.choice = PrefixChoice("hall-0", self.prefixes)
-        self.notes = LoadNotes(
+        self.notes = LoadSync(
             self.pool,
             self.prefixes,
             peers,
@@ -101,8 +101,8 @@
         now = self.clock.now
         candidates = self.pool.candidates(SERVICE, (), now)
         state = self.choice.choose(candidates, job, now)
-        unread = self.choice.unread(state, job, now)
-        self.notes.note_send(state, job.prefix, unread)
+        unread = self.choice.uncached_tokens(state, job, now)
+        self.notes.record_send(state, job.prefix, unread)
         return state.record.id
 
 
@@ -152,15 +152,15 @@
 def test_an_engine_that_was_slow_is_taken_for_slow():
     pending = Backlog()
     for _send in range(20):
-        pending.measure(10000, 10000 / (DEFAULT_RATE / 4))
+        pending.update_rate(10000, 10000 / (DEFAULT_RATE / 4))
     assert pending.rate == pytest.approx(DEFAULT_RATE / 4, rel=0.01)
     # A small prompt says nothing of the rate, nor does one that was cached.
-    pending.measure(backlog.MEASURED_LEAST - 1, 9.0)
-    pending.measure(10000, 0.0)
+    pending.update_rate(backlog.MIN_MEASURED_TOKENS - 1, 9.0)
+    pending.update_rate(10000, 0.0)
     assert pending.rate == pytest.approx(DEFAULT_RATE / 4, rel=0.01)
     for _send in range(40):
-        pending.measure(10000, 0.001)
-    assert pending.rate <= backlog.MOST_RATE
+        pending.update_rate(10000, 0.001)
+    assert pending.rate <= backlog.MAX_RATE
 
 
 # Choice
@@ -198,9 +198,9 @@
 
 
 def test_a_cached_prompt_is_forgotten_after_a_while(clock, router):
-    router.prefixes.note(1, "e1", clock.now)
-    assert set(router.prefixes.engines(1, clock.now)) == {"e1"}
-    assert not router.prefixes.engines(1, clock.now + KEEP_SECONDS + 1)
+    router.prefixes.record(1, "e1", clock.now)
+    assert set(router.prefixes.engines_with(1, clock.now)) == {"e1"}
+    assert not router.prefixes.engines_with(1, clock.now + KEEP_SECONDS + 1)
 
 
 def test_short_prompts_stay_in_the_own_data_centre_while_in_time(router):
@@ -238,7 +238,7 @@
     (other,) = {"e1", "e3"} - {slow}
     assert set(send_short(router, count=4)) == {other}
     # Sooner to another data centre than to one that pauses.
-    for _stream in range(pacing.STREAMS):
+    for _stream in range(stream_pauses.TRACKED_STREAMS):
         follow_pause(router, slow)
         follow_pause(router, other)
     assert not set(send_short(router, count=4)) & {slow, other}
@@ -258,13 +258,13 @@
 
 def test_a_pause_is_forgotten_after_a_while(clock, router):
     slow = send_short(router, pause=0.4)
-    clock.now += pacing.KEEP_SECONDS + 1
+    clock.now += stream_pauses.KEEP_SECONDS + 1
     assert send_short(router) == slow
 
 
 def test_a_long_prompt_goes_to_the_even_one_of_those_that_have_it(router):
     for name in ("e1", "e2"):
-        router.prefixes.note(hash_of("night"), name, router.clock.now)
+        router.prefixes.record(hash_of("night"), name, router.clock.now)
     first = router.send(make_job())
     (other,) = {"e1", "e2"} - {first}
     router.clock.now += 2.0
@@ -279,7 +279,7 @@
 def follow_pause(router, engine):
     """Let a stream pause too long at an engine."""
     job = make_job(gap_objective=0.3)
-    router.pool.get(engine).pacing.follow(job, router.clock.now)
+    router.pool.get(engine).pacing.track(job, router.clock.now)
     job.longest_pause = 0.4
 
 
@@ -287,9 +287,9 @@
     job = make_job(gap_objective=0.3)
     job.events = 3
     job.longest_pause = 1.5
-    moved = pacing.Pacing()
-    moved.follow(job, 100.0)
-    assert moved.uneven_share(100.0) == 0
+    moved = stream_pauses.StreamPauses()
+    moved.track(job, 100.0)
+    assert moved.paused_share(100.0) == 0
 
 
 def test_plain_upstreams_are_chosen_by_what_runs_there(router):
@@ -335,10 +335,10 @@
     peers = FakePeers()
     peers.routers["r2"] = FakeRouter(clock, peers, "other")
     router = FakeRouter(clock, peers, "one", ["x/r2/1"])
-    router.send(make_job(shared=0, own=NOTE_LEAST - 1))
+    router.send(make_job(shared=0, own=MIN_ANNOUNCED_TOKENS - 1))
     assert not peers.told
-    router.send(make_job(shared=0, own=NOTE_LEAST))
-    assert [note.tokens for note in peers.told] == [NOTE_LEAST]
+    router.send(make_job(shared=0, own=MIN_ANNOUNCED_TOKENS))
+    assert [note.tokens for note in peers.told] == [MIN_ANNOUNCED_TOKENS]
 
 
 def test_notes_of_a_busy_router_reach_a_sample(clock):
@@ -350,13 +350,15 @@
     router = FakeRouter(clock, peers, "one", others)
     for _number in range(100):
         clock.now += 0.1
-        router.send(make_job(shared=0, own=NOTE_LEAST))
+        router.send(make_job(shared=0, own=MIN_ANNOUNCED_TOKENS))
     told = len(peers.told) / (100 * 0.1)
-    assert 0.8 * NOTES_A_SECOND < told < 1.6 * NOTES_A_SECOND
+    assert (
+        0.8 * ANNOUNCEMENTS_PER_SECOND < told < 1.6 * ANNOUNCEMENTS_PER_SECOND
+    )
 
 
 def test_a_note_of_an_upstream_that_is_not_listed_changes_nothing(router):
-    router.notes.take(LoadNote("gone", 1, 5000, "peer"))
+    router.notes.apply(LoadNote("gone", 1, 5000, "peer"))
     assert all(
         router.pool.get(name).backlog.tokens(100.0) == 0 for name in ENGINES
     )
--- a/test/test_engine_load.py
+++ b/test/test_engine_load.py
@@ -12,7 +12,7 @@
 from bench.engines.load import SHORT
 from rowanport.gateway.backlog import Backlog
 from rowanport.gateway.choice import PrefixChoice
-from rowanport.gateway.loads import LoadNotes
+from rowanport.gateway.load_sync import LoadSync
 from rowanport.scheduling import Overload
 from rowanport.scheduling.overload import LESS_URGENT_SHARE
 from rowanport.scheduling.overload import RANK_SECONDS
@@ -71,7 +71,7 @@
     # Long prompts are the more urgent ones here, and are due sooner.
     outcomes = play("few")
     assert refused(outcomes, LONG) <= refused(outcomes, SHORT) + 0.05
-    without = play_without("few", Overload, "_note_rank", _forget_ranks)
+    without = play_without("few", Overload, "_record_rank", _forget_ranks)
     gap = refused(without, LONG) - refused(without, SHORT)
     assert refused(outcomes, LONG) - refused(outcomes, SHORT) < gap
 
@@ -100,7 +100,7 @@
     # Two of six engines take 1.3 times as long, and pause 0.3 s with a long
     # prompt beside.
     without = play_without(
-        pattern, PrefixChoice, "_evenest", lambda _self, some, _now: some
+        pattern, PrefixChoice, "_fewest_pauses", lambda _self, some, _now: some
     )
     assert credit(play(pattern)) > credit(without)
 
@@ -148,10 +148,10 @@
 def test_lag_fades_and_follows_first_events():
     backlog = Backlog()
     for _send in range(20):
-        backlog.note_first_event(100, 1.1, 10.0)
+        backlog.record_first_event(100, 1.1, 10.0)
     assert backlog.lag(10.0) == pytest.approx(1.0, abs=0.01)
     assert backlog.lag(12.0) == pytest.approx(0.5, abs=0.01)
-    backlog.note_first_event(100, 0.05, 12.0)
+    backlog.record_first_event(100, 0.05, 12.0)
     assert backlog.lag(12.0) < 0.3
 
 
@@ -163,5 +163,7 @@
 def test_a_large_fleet_serves_more_where_routers_hear_of_long_prompts(pattern):
     # 195 routers before 39 engines: each sees one prompt in two hundred, and
     # without news they meet at the same engines.
-    without = play_without(pattern, LoadNotes, "begin_asking", hear_nothing)
+    without = play_without(
+        pattern, LoadSync, "advance_poll_window", hear_nothing
+    )
     assert credit(play(pattern)) > credit(without) + 0.01
--- a/test/world.py
+++ b/test/world.py
@@ -22,12 +22,12 @@
 from rowanport.incarnation import incarnation_of
 from rowanport.ledger import LedgerKeeper
 from rowanport.ledger import ReservationBook
-from rowanport.ledger.allowance import Allowance
 from rowanport.ledger.client import LedgerClient
 from rowanport.ledger.editor import BudgetEditor
 from rowanport.ledger.keeper import read_shard
 from rowanport.ledger.keeper import shard_key
 from rowanport.ledger.orphans import RunUnknown
+from rowanport.ledger.write_limiter import WriteLimiter
 from rowanport.membership.members import READY
 from rowanport.metrics import Metrics
 from rowanport.schema.messages import Ack
@@ -189,7 +189,7 @@
         """Believe what a timeout says until the next heartbeat."""
         self._suspected[incarnation] = self._world.loop.now + 1.0
 
-    def others(self):
+    def live_peers(self):
         cell = cell_of(self._incarnation)
         return [
             name
@@ -198,10 +198,10 @@
         ]
 
     def entries(self):
-        return self.others() or [self._incarnation]
+        return self.live_peers() or [self._incarnation]
 
     def witness(self):
-        order = rendezvous(self._incarnation, self.others())
+        order = rendezvous(self._incarnation, self.live_peers())
         return order[0] if order else None
 
     def homes(self, shard, kind="ledger"):
@@ -234,7 +234,7 @@
             members,
             self.book,
             settings,
-            Allowance(1000.0),
+            WriteLimiter(1000.0),
             clock,
             METRICS,
             world.resolve,
