--- a/rowanport/gateway/daemon.py
+++ b/rowanport/gateway/daemon.py
@@ -133,7 +133,7 @@
         )
         self._views.on_table = self._apply_table
         self._views.on_upstreams = self._apply_upstreams
-        self._views.tell = self._peer_server.tell
+        self._views.push = self._peer_server.tell
         self._peers.on_told = self._hear_told
         self.budgets = BudgetKeeper(
             incarnation,
@@ -284,7 +284,7 @@
         return {
             messages.Gossip: self.members.receive,
             messages.ViewAsk: self._views.handle,
-            messages.UpstreamNews: self._views.hear_news,
+            messages.UpstreamNews: self._views.handle_update,
             messages.LoadNote: self.loads.receive,
             messages.SuspectNews: self.crashes.sync.receive,
             messages.SuspectRun: self.crashes.sync.receive_run,
--- a/rowanport/gateway/views.py
+++ b/rowanport/gateway/views.py
@@ -1,7 +1,7 @@
-"""What a router knows from outside: configuration and upstreams.
+"""A router's views of the fleet: the configuration and the upstreams.
 
-Both come from the store while it can be reached, and from peers that know
-newer ones.  Neither ever goes back to an older one.
+Both come from the store while it can be reached, and from peers that have
+newer versions.  Neither is ever replaced by an older version.
 """
 
 import asyncio
@@ -31,41 +31,48 @@
 
 LOG = structlog.get_logger(__name__)
 
-# Seconds between two questions to peers: a change reaches all routers of a
-# cell in about three rounds.
+# Seconds between two polls of peers; a change reaches all routers of a cell in
+# about three rounds.
 POLL_INTERVAL = 0.25
-# Seconds for an answer: a router whose link is congested learns late, but it
-# learns, and a late answer tells it of its link.
-ASK_TIMEOUT = 3.0
-# Questions under way at once: one each interval, as long as answers take.
-ASKS_AT_ONCE = 12
-# Peers that are asked at once while nobody confirms the views.
-ASKS_WHEN_AGING = 4
+# Time-out of a poll in seconds.  On a congested link answers arrive late; they
+# are still of use, and their delay shows that the link is congested.
+POLL_TIMEOUT = 3.0
+# Limit of polls in flight: one for each POLL_INTERVAL within POLL_TIMEOUT.
+MAX_POLLS_IN_FLIGHT = 12
+# Peers that are polled at once while the views are not confirmed.
+POLLS_WHEN_AGING = 4
 # Seconds after the start during which a router may not know the fleet yet.
-LEARN_SECONDS = 5.0
-# Seconds after the start before a router follows the store if its fleet starts
-# for the first time and its settings name seeds, which follow it at once: by
-# then it knows most of the others, and their starts end no watch of its own.
-SEEDED_PAUSE = 2.0
+DISCOVERY_SECONDS = 5.0
+# Seconds after the start before a router that is no seed watches the store, if
+# its fleet starts for the first time and has seeds, which watch at once.  By
+# then it knows most other routers, so their starts do not end its watches.
+SEEDED_WATCH_DELAY = 2.0
 
 
 class Views:
-    """The newest configuration and list of upstreams known here.
+    """The newest configuration and list of upstreams that a router knows.
 
     :param decode: function from the bytes of a configuration to a
         RoutingTable; raises MessageError
+    :param members: the Membership
+    :param peers: the PeerClient for polls
     :param address: this router's peer address
     :param clock: a Clock
-    :param clocks: the FleetClocks, which learn from each exchange
-    :param congestion: the CongestionDetector, which does, too
-    :ivar freshness: the FreshnessTracker of both
+    :param clocks: the FleetClocks, updated by each poll
+    :param congestion: the CongestionDetector, updated by each poll
+    :ivar freshness: the FreshnessTracker of the views
+    :ivar table: the active RoutingTable, or None
+    :ivar upstreams: the active UpstreamList
+    :ivar on_table: function of a RoutingTable, called when it becomes active
+    :ivar on_upstreams: function of an UpstreamList, called when it becomes
+        active
     :ivar on_answer: function that is called after each answer of a peer, or
         None
-    :ivar tell: function of a peer's address and a message that sends the
+    :ivar push: function of a peer's address and a message that sends the
         message on a connection that the peer has open
-    :ivar loads: the LoadSync that asks and answers along with it, or None
-    :ivar crashes: the SuspectSync that does, too, or None
-    :ivar limits: the RateLimits that do, too, or None
+    :ivar loads: the LoadSync whose data is exchanged in polls, or None
+    :ivar crashes: the SuspectSync whose data is exchanged in polls, or None
+    :ivar limits: the RateLimits whose data is exchanged in polls, or None
     """
 
     def __init__(
@@ -78,11 +85,11 @@
         self._clock = clock
         self._clocks = clocks
         self._congestion = congestion
-        self._asks = TaskSet()
-        self._asked = collections.Counter()
+        self._polls = TaskSet()
+        self._in_flight = collections.Counter()
         self._polling = PollingPeers()
         self._changes = ChangeLog()
-        self._list_wanted = False
+        self._needs_full_list = False
         self._retained = RetainedUpstreams()
         self._started = clock.steady()
         self._config_data = b""
@@ -92,7 +99,7 @@
         self.upstreams = UpstreamList()
         self.on_table = None
         self.on_answer = None
-        self.tell = None
+        self.push = None
         self.on_upstreams = None
         self.loads = None
         self.crashes = None
@@ -100,24 +107,25 @@
 
     @property
     def watches_store(self):
-        """Return whether this router follows the store, for others too.
+        """Return whether this router watches the store, also for its peers.
 
-        Where all routers stop none is left to do so: each does for itself.
+        If all routers are stopping, none is chosen to watch the store, and
+        each watches it itself.
         """
-        if self.starting_up and self._leads:
+        if self.starting_up and self._watches_at_start:
             return True
-        if self._clock.steady() < self._started + SEEDED_PAUSE:
+        if self._clock.steady() < self._started + SEEDED_WATCH_DELAY:
             return False
-        duty = store_watchers(self._members)
-        return not duty or self._address in duty
+        watchers = store_watchers(self._members)
+        return not watchers or self._address in watchers
 
     @property
-    def _leads(self):
-        """Return whether this router, just started, follows for others.
+    def _watches_at_start(self):
+        """Return whether this router watches the store right after its start.
 
-        Where a fleet starts for the first time its seeds are the first to be
-        asked.  Else each does for itself: those that it could ask may be cut
-        off from the store while it is not.
+        If the fleet starts for the first time, only its seeds do, since they
+        are polled first.  If the fleet ran before, each router does: the peers
+        that it could poll may be cut off from the store while it is not.
         """
         if self._members.listed:
             return True
@@ -127,14 +135,14 @@
     @property
     def starting_up(self):
         """Return whether this router may not know the fleet yet."""
-        return self._clock.steady() < self._started + LEARN_SECONDS
+        return self._clock.steady() < self._started + DISCOVERY_SECONDS
 
-    # What is known
+    # Applying views
 
     def apply_config(self, data, source):
-        """Take over a configuration if it is newer.
+        """Apply a configuration if it is newer than the active one.
 
-        :param data: its bytes as the store holds them
+        :param data: its bytes as stored
         :param source: where it came from, for the log
         """
         try:
@@ -152,19 +160,19 @@
         self.on_table(table)
 
     def apply_upstreams(self, upstreams, source):
-        """Take over an UpstreamList if it is newer."""
+        """Apply an UpstreamList if it is newer than the active one."""
         if upstreams.version > self.upstreams.version:
-            self._take_list(upstreams, source)
+            self._apply_list(upstreams, source)
 
-    def _take_list(self, upstreams, source):
+    def _apply_list(self, upstreams, source):
         upstreams.upstreams = self._retained.apply(
             upstreams.upstreams,
             self.upstreams.upstreams,
             self._clock.steady(),
         )
-        self._put_in_force(upstreams, source)
+        self._activate(upstreams, source)
 
-    def _put_in_force(self, upstreams, source):
+    def _activate(self, upstreams, source):
         self._changes.record(self.upstreams, upstreams)
         self.upstreams = upstreams
         records = upstreams.upstreams.values()
@@ -178,17 +186,21 @@
             count=len(records),
         )
         self.on_upstreams(upstreams)
-        self._tell_askers()
+        self._push_changes()
 
-    def _drop_lapsed(self):
-        """Drop upstreams that were kept without an entry for too long."""
-        ended = self._retained.pop_overdue(self._clock.steady())
-        if not ended:
+    def _drop_overdue(self):
+        """Drop upstreams whose entry is missing beyond the grace period."""
+        overdue = self._retained.pop_overdue(self._clock.steady())
+        if not overdue:
             return
         known = self.upstreams
-        kept = [u for name, u in known.upstreams.items() if name not in ended]
-        self._put_in_force(
-            UpstreamList(known.revision, kept, known.step), "lapsed"
+        upstreams = [
+            upstream
+            for name, upstream in known.upstreams.items()
+            if name not in overdue
+        ]
+        self._activate(
+            UpstreamList(known.revision, upstreams, known.step), "lapsed"
         )
 
     # Peers
@@ -216,114 +228,117 @@
         if self.limits is not None:
             self.limits.merge(message.limits, message.asker)
             give.limits = self.limits.rows()
-        self._give_news(message, give)
+        self._add_updates(message, give)
         return give
 
-    def _give_news(self, ask, give):
-        """Add what the asker of a ViewAsk does not know.
+    def _add_updates(self, ask, give):
+        """Add the newer versions that a polling peer does not have.
 
-        What is on its way to it already is named only.
+        A version that was sent to the peer already is only named.
         """
         now = self._clock.steady()
         has = (ask.upstreams, ask.step)
-        asker = self._polling.record_poll(ask.asker, ask.config, has, now)
+        peer = self._polling.record_poll(ask.asker, ask.config, has, now)
         if ask.config < self._version:
             give.config = self._version
-            if asker.begin_config_send(self._version, now):
+            if peer.begin_config_send(self._version, now):
                 give.config_data = self._pack_config()
         if has < self.upstreams.version:
             give.upstreams, give.step = self.upstreams.version
-            if asker.begin_upstreams_send(self.upstreams.version, now):
+            if peer.begin_upstreams_send(self.upstreams.version, now):
                 give.upstream_data = self._pack_changes(has)
 
     def _pack_changes(self, base):
         return self._changes.delta(base, self.upstreams).pack()
 
-    def _tell_askers(self):
-        """Tell routers that asked lately what changed.
+    def _push_changes(self):
+        """Push the latest changes to the peers that polled recently.
 
-        Those that follow the store hear of it themselves.
+        Peers that watch the store get the changes from there.
         """
         now = self._clock.steady()
         version = self.upstreams.version
-        duty = store_watchers(self._members)
+        watchers = store_watchers(self._members)
         packed = {}
-        for address, asker in self._polling.recent(now):
-            if address in duty:
+        for address, peer in self._polling.recent(now):
+            if address in watchers:
                 continue
-            if asker.begin_upstreams_send(version, now):
-                base = asker.upstreams
+            if peer.begin_upstreams_send(version, now):
+                base = peer.upstreams
                 if base not in packed:
                     packed[base] = self._pack_changes(base)
-                self.tell(address, UpstreamNews(self._address, packed[base]))
+                self.push(address, UpstreamNews(self._address, packed[base]))
 
-    def hear_news(self, news):
-        """Take in UpstreamNews."""
-        self._take_packed_list(news.data, news.sender)
+    def handle_update(self, update):
+        """Apply the UpstreamNews that a polled peer pushed."""
+        self._apply_packed_list(update.data, update.sender)
 
     def _pack_config(self):
-        """Return the configuration compressed.
+        """Return the compressed configuration.
 
-        Like routes repeat, and slow links are full for as long as it passes.
+        Similar routes compress well, and an uncompressed configuration of
+        hundreds of routes congests slow links.
         """
         if not self._config_packed:
             self._config_packed = zlib.compress(self._config_data)
         return self._config_packed
 
     async def run(self):
-        """Ask one peer after the other until cancelled."""
+        """Poll peers in turn until cancelled."""
         try:
             while True:
                 beat()
                 self.freshness.log_change()
-                self._drop_lapsed()
+                self._drop_overdue()
                 for address in self._next_sources():
-                    # Not awaited: one that is cut off would hold up the next.
-                    if len(self._asks) < ASKS_AT_ONCE:
-                        self._asks.spawn(self.ask(address))
+                    # Not awaited: a peer that is cut off would delay the next.
+                    if len(self._polls) < MAX_POLLS_IN_FLIGHT:
+                        self._polls.spawn(self.ask(address))
                 await asyncio.sleep(POLL_INTERVAL)
         finally:
-            self._asks.cancel()
+            self._polls.cancel()
 
     def _next_sources(self):
-        """Return the addresses of the peers that are asked next.
+        """Return the addresses of the peers to poll next.
 
-        One that has a question to answer is asked again only if there is no
-        other.
+        A peer with a poll in flight is polled again only if there is no other.
         """
         sources = self._sources()
-        free = [peer for peer in sources if not self._asked[peer]]
-        count = ASKS_WHEN_AGING if self.freshness.aging else 1
-        return (free or sources)[:count]
+        idle = [peer for peer in sources if not self._in_flight[peer]]
+        count = POLLS_WHEN_AGING if self.freshness.aging else 1
+        return (idle or sources)[:count]
 
     def _sources(self):
-        """Return the addresses of peers that may know something new.
+        """Return the addresses of peers that may have newer views, shuffled.
 
-        They are shuffled; any will do while no follower is known.
+        Store watchers come first.  Other peers are polled only if no store
+        watcher is ready, or while the views are aging.
         """
         ready = [address_of(peer) for peer in self._members.ready_peers()]
-        duty = store_watchers(self._members)
-        follow = [peer for peer in ready if peer in duty]
-        if follow and not self.freshness.aging:
-            return follow
-        sources = follow + [peer for peer in ready if peer not in duty]
-        return sources or self._silent_sources(duty)
-
-    def _silent_sources(self, duty):
-        """Return the addresses of peers though none seems alive.
-
-        It may be the own link that was silent, and nobody else asks for it.
+        watchers = store_watchers(self._members)
+        watching = [peer for peer in ready if peer in watchers]
+        if watching and not self.freshness.aging:
+            return watching
+        sources = watching + [peer for peer in ready if peer not in watchers]
+        return sources or self._fallback_sources(watchers)
+
+    def _fallback_sources(self, watchers):
+        """Return the addresses of all known peers if none seems alive.
+
+        They may seem dead because this router's own link failed, and no other
+        router polls on its behalf.
         """
-        known = {*duty, *self._members.seeds, *self._members.listed}
+        known = {*watchers, *self._members.seeds, *self._members.listed}
         known.discard(self._address)
         return random.sample(sorted(known), len(known))
 
-    async def ask(self, address, timeout=ASK_TIMEOUT):
-        """Ask the peer at an address for what it has newer.
+    async def ask(self, address, timeout=POLL_TIMEOUT):
+        """Poll a peer for newer views, and apply its answer.
 
-        :param timeout: longest wait in seconds
+        :param address: the peer's address
+        :param timeout: time-out in seconds
         """
-        has = NO_LIST if self._list_wanted else self.upstreams.version
+        has = NO_LIST if self._needs_full_list else self.upstreams.version
         seconds = self.loads.advance_poll_window() if self.loads else 0.0
         ask = ViewAsk(
             self._version,
@@ -335,24 +350,24 @@
             self.limits.rows() if self.limits else [],
             has[1],
         )
-        asked_at = self._clock.steady()
-        self._asked[address] += 1
+        sent_at = self._clock.steady()
+        self._in_flight[address] += 1
         try:
             give = await self._peers.call(
                 address, ask, timeout, repeatable=True
             )
         except PeerError as error:
-            LOG.debug("views_unread", peer=address, error=str(error))
-            self._congestion.record_timeout(self._clock.steady() - asked_at)
+            LOG.debug("poll_failed", peer=address, error=str(error))
+            self._congestion.record_timeout(self._clock.steady() - sent_at)
             return
         finally:
-            self._asked[address] -= 1
+            self._in_flight[address] -= 1
         if not isinstance(give, ViewGive):
             return
         self.freshness.record_peer_answer(
-            asked_at, give.store_age / 1000, give.steady / 10
+            sent_at, give.store_age / 1000, give.steady / 10
         )
-        # Without the time in which a silent connection was found out.
+        # The last round trip excludes the time spent on a stalled connection.
         self._congestion.record_round_trip(self._peers.last_trip(address))
         self._clocks.observe(address, give.wall)
         for note in give.notes:
@@ -362,44 +377,44 @@
         if self.limits is not None:
             self.limits.merge(give.limits, address)
         if give.config_data:
-            self._take_packed_config(give.config_data, address)
+            self._apply_packed_config(give.config_data, address)
         if give.upstream_data:
-            self._take_packed_list(give.upstream_data, address)
+            self._apply_packed_list(give.upstream_data, address)
         if self.on_answer is not None:
             self.on_answer()
-        if self._has(give):
-            self.freshness.confirm(asked_at - give.age / 1000, address)
+        if self._is_covered(give):
+            self.freshness.confirm(sent_at - give.age / 1000, address)
 
-    def _has(self, give):
-        """Return whether all that a peer knew is known here."""
+    def _is_covered(self, give):
+        """Return whether a peer's answer names no newer version than these."""
         upstreams = (give.upstreams, give.step)
         newest = upstreams <= self.upstreams.version
         config = give.config <= self._version
-        return newest and config and not self._list_wanted
+        return newest and config and not self._needs_full_list
 
-    def _take_packed_list(self, packed, address):
-        """Take over what a peer says has changed."""
+    def _apply_packed_list(self, packed, address):
+        """Apply a peer's UpstreamDelta if it is newer or was requested."""
         try:
             delta = UpstreamDelta.unpack(packed)
         except MessageError as error:
             LOG.error("upstreams_unreadable", error=str(error))
             return
-        whole = delta.base == NO_LIST and self._list_wanted
+        complete = delta.base == NO_LIST and self._needs_full_list
         if delta.version < self.upstreams.version:
             return
-        if delta.version == self.upstreams.version and not whole:
+        if delta.version == self.upstreams.version and not complete:
             return
         upstreams = delta.apply(self.upstreams)
         if upstreams is None:
             return
-        # Peers may have concluded different things from the same revision.
-        self._list_wanted = upstreams.digest != delta.digest
-        if self._list_wanted:
+        # Peers may have made different changes at the same revision.
+        self._needs_full_list = upstreams.digest != delta.digest
+        if self._needs_full_list:
             LOG.info("upstreams_differ", version=delta.version, peer=address)
-        self._take_list(upstreams, address)
+        self._apply_list(upstreams, address)
 
-    def _take_packed_config(self, packed, address):
-        """Take over a configuration that a peer handed on."""
+    def _apply_packed_config(self, packed, address):
+        """Apply a packed configuration of a peer if it is newer."""
         try:
             data = zlib.decompress(packed)
         except zlib.error as error:
--- a/test/test_stopping.py
+++ b/test/test_stopping.py
@@ -28,7 +28,7 @@
 from rowanport.errors import UpstreamError
 from rowanport.gateway import stopping as stops
 from rowanport.gateway.stopping import Stopping
-from rowanport.gateway.views import LEARN_SECONDS
+from rowanport.gateway.views import DISCOVERY_SECONDS
 from rowanport.metrics import Metrics
 from rowanport.router.callers import CallerServer
 
@@ -553,7 +553,7 @@
     # asks others only while they are ready.  When all stopped together none
     # learned of a change, while they served for up to 7 s.
     views = platform.gateway._views
-    views._started -= 2 * LEARN_SECONDS
+    views._started -= 2 * DISCOVERY_SECONDS
     assert not views.starting_up and views.watches_store
     held = await hold_open(platform)
     stopping = begin_stop(platform)
--- a/test/test_young_views.py
+++ b/test/test_young_views.py
@@ -17,8 +17,8 @@
 import pytest
 
 from rowanport.gateway.upstream import UpstreamList
-from rowanport.gateway.views import LEARN_SECONDS
-from rowanport.gateway.views import SEEDED_PAUSE
+from rowanport.gateway.views import DISCOVERY_SECONDS
+from rowanport.gateway.views import SEEDED_WATCH_DELAY
 from rowanport.hashing import rendezvous
 from rowanport.platform.config import decode_config
 from rowanport.platform.sources import ConfigSource
@@ -91,9 +91,9 @@
     asyncio.set_event_loop(loop)
     views = make_views(loop, SeededMembers(seeds), SlowPeers((), 0.1))
     found = [views.watches_store]
-    loop.run_until_complete(asyncio.sleep(SEEDED_PAUSE + 0.1))
+    loop.run_until_complete(asyncio.sleep(SEEDED_WATCH_DELAY + 0.1))
     found.append(views.watches_store)
-    loop.run_until_complete(asyncio.sleep(LEARN_SECONDS))
+    loop.run_until_complete(asyncio.sleep(DISCOVERY_SECONDS))
     found.append(views.watches_store)
     loop.close()
     assert found == duties
@@ -112,7 +112,7 @@
     members = SeededMembers(["other"], listed)
     views = make_views(loop, members, SlowPeers((), 0.1))
     assert views.watches_store
-    loop.run_until_complete(asyncio.sleep(0.9 * LEARN_SECONDS))
+    loop.run_until_complete(asyncio.sleep(0.9 * DISCOVERY_SECONDS))
     assert views.watches_store
     loop.close()
 
@@ -127,7 +127,7 @@
     store = OldStore()
     follower = source(store, LoopClock(loop))
     run = loop.create_task(follower._wait_for_duty(views))
-    loop.run_until_complete(asyncio.sleep(0.9 * SEEDED_PAUSE))
+    loop.run_until_complete(asyncio.sleep(0.9 * SEEDED_WATCH_DELAY))
     run.cancel()
     loop.run_until_complete(asyncio.sleep(0))
     loop.close()
