--- a/rowanport/gateway/attempt.py
+++ b/rowanport/gateway/attempt.py
@@ -1,4 +1,4 @@
-"""One send of a request to one upstream, and how far its answer came."""
+"""A send of a request to one upstream, and the state of its answer."""
 
 import asyncio
 
@@ -12,22 +12,22 @@
 
 
 class Attempt:
-    """One send of a Job to one upstream.
+    """A send of a Job to one upstream.
 
-    Waiting for its answer may be broken off and begun again; only
-    :meth:`close` gives the answer up.
+    Waiting for the answer may be cancelled and repeated; only :meth:`close`
+    abandons the answer.
 
-    :param state: the UpstreamState that it went to
-    :param opening: task that returns its HttpAnswer
-    :param relay: function from the HttpAnswer to its Relay
+    :param state: the UpstreamState of the upstream
+    :param opening: task that sends the request and returns the HttpAnswer
+    :param make_relay: function from the HttpAnswer to its Relay
     :param flight: the InFlightSend that counts it
     :ivar flight: its InFlightSend
-    :ivar tokens: tokens that are set aside for it beside another one
-    :ivar answer: the HttpAnswer, None until its head is here
-    :ivar stalled_at: steady time from which its silence is too long, None if
-        nothing else can be done than to wait
-    :ivar silence_note: what its silence has led to, None unless it is too
-        long
+    :ivar tokens: extra tokens reserved for it if it is a hedge
+    :ivar answer: the HttpAnswer, None until its head has arrived
+    :ivar stalled_at: monotonic time from which it counts as stalled, None if
+        the job cannot be sent to another upstream
+    :ivar stall_note: reaction to its stall as logged last, None unless it is
+        stalled
     """
 
     __slots__ = (
@@ -40,12 +40,12 @@
         "_opening",
         "_make_relay",
         "_relay",
-        "_pieces",
+        "_chunks",
         "_ended",
         "_closed",
     )
 
-    def __init__(self, state, opening, relay, flight):
+    def __init__(self, state, opening, make_relay, flight):
         self.state = state
         self.flight = flight
         self.tokens = 0
@@ -53,9 +53,9 @@
         self.stalled_at = None
         self.stall_note = None
         self._opening = opening
-        self._make_relay = relay
+        self._make_relay = make_relay
         self._relay = None
-        self._pieces = []
+        self._chunks = []
         self._ended = False
         self._closed = False
         state.outstanding += 1
@@ -67,87 +67,94 @@
 
     @property
     def head_received(self):
-        """Return whether its answer has begun to arrive."""
+        """Return whether the head of its answer has arrived."""
         return self.answer is not None
 
     @property
-    def chosen(self):
-        """Return whether its answer is the one that is passed on."""
+    def forwarding(self):
+        """Return whether its answer is being forwarded."""
         return self._relay is not None
 
     @property
     def usable(self):
-        """Return whether what has arrived is surely of use by itself.
+        """Return whether enough has arrived to forward the answer.
 
-        That is a whole event of a stream, or a plain answer that is whole or
-        too large to hold.  Less than that may end right after.
+        That is a complete event of a stream, or a plain answer that is
+        complete or too large to buffer.  With less, the answer may still break
+        off before anything can be forwarded.
         """
         if self.answer is None:
             return False
         if self._ended:
             return True
         if is_stream(self.answer):
-            return END in b"".join(self._pieces)
-        return sum(len(piece) for piece in self._pieces) > BUFFER_LIMIT
+            return END in b"".join(self._chunks)
+        return sum(len(chunk) for chunk in self._chunks) > BUFFER_LIMIT
 
     async def advance(self):
-        """Wait until there is more of the answer: its head, its next piece.
+        """Wait for the next part of the answer: its head or a chunk.
 
-        The head of a stream alone is no sign that the upstream works on it.
+        The head of a stream is not enough, since it does not show that the
+        upstream is processing the request.
 
-        :raises UpstreamError: it failed or broke off
+        :raises UpstreamError: the send failed or the answer broke off
         """
-        if self._pieces or self._ended:
+        if self._chunks or self._ended:
             return
         if self.answer is None:
             await self._read_head()
             if not is_stream(self.answer):
                 return
-        await self._read_piece()
+        await self._read_chunk()
 
     async def wait_until_usable(self):
-        """Wait until enough of the answer is here to go on with it.
+        """Wait until the answer is usable.
 
-        :raises UpstreamError: it failed or broke off
+        :raises UpstreamError: the send failed or the answer broke off
         """
         if self.answer is None:
             await self._read_head()
         while not self.usable:
-            await self._read_piece()
+            await self._read_chunk()
 
     async def _read_head(self):
         self.answer = await asyncio.shield(self._opening)
 
-    async def _read_piece(self):
-        piece = await self.answer.next_piece()
-        if piece is None:
+    async def _read_chunk(self):
+        chunk = await self.answer.next_piece()
+        if chunk is None:
             self._ended = True
         else:
-            self._pieces.append(piece)
+            self._chunks.append(chunk)
 
     def check(self, responder):
-        """Raise UpstreamError unless its answer can be the caller's."""
+        """Raise UpstreamError unless the answer may be forwarded."""
         status = self.answer.status
         if status >= SERVER_ERROR:
             raise UpstreamError(f"status {status}")
         if responder.started and not is_stream(self.answer):
-            raise UpstreamError(f"status {status} instead of events")
+            raise UpstreamError(
+                f"status {status} instead of the rest of a stream"
+            )
 
     async def forward(self):
-        """Pass on what has arrived.
+        """Forward what has arrived.
 
-        :raises UpstreamError: the answer is none that may be passed on
+        :raises UpstreamError: the answer is incomplete
         """
         if self._relay is None:
             self._relay = self._make_relay(self.answer)
-        for piece in self._pieces:
-            await self._relay.pass_on(piece)
-        self._pieces.clear()
+        for chunk in self._chunks:
+            await self._relay.forward(chunk)
+        self._chunks.clear()
         if self._ended:
             await self._relay.finish()
 
     def close(self):
-        """Give the answer up unless it is whole; may be called again."""
+        """Abandon the answer unless it is complete.
+
+        May be called more than once.
+        """
         if self._closed:
             return
         self._closed = True
@@ -155,9 +162,9 @@
         if self.answer is not None:
             self.answer.close()
         elif not self._opening.cancel():
-            self._close_unseen()
+            self._close_unread()
 
-    def _close_unseen(self):
-        """Close an answer whose head nobody has waited for."""
+    def _close_unread(self):
+        """Close an answer whose head arrived but was not read."""
         if not self._opening.cancelled() and not self._opening.exception():
             self._opening.result().close()
--- a/rowanport/gateway/daemon.py
+++ b/rowanport/gateway/daemon.py
@@ -1,4 +1,4 @@
-"""The gateway: builds its parts, connects them, starts and stops them."""
+"""The gateway: creates its components, connects, starts and stops them."""
 
 import asyncio
 import functools
@@ -41,17 +41,18 @@
 from .refusals import Refusals
 from .retry_window import RetryWindow
 from .settings import split_address
-from .stopping import Stopping
+from .stopping import GracefulStop
 from .store_watchers import update_recipients
 from .views import Views
 
 LOG = structlog.get_logger(__name__)
 
-# Longest wait in seconds for a connection to an upstream: a hundred round
-# trips within a region, and short against every objective.
+# Time-out in seconds for connecting to an upstream: a hundred round trips
+# within a region, and much shorter than any objective.
 CONNECT_TIMEOUT = 0.3
-# Heartbeats: a killed router is left out after about 3 s, which costs others
-# a call that is refused at once; bytes between data centres have a price.
+# Heartbeats.  A killed router is detected after about 3 s; until then calls to
+# it fail at once.  The intervals keep the traffic between data centres low,
+# since it is billed.
 MEMBERSHIP = {
     "interval": 0.8,
     "fanout": 1,
@@ -60,31 +61,37 @@
     "forget_after": 60.0,
     "list_interval": 10.0,
 }
-# Longest time in seconds between two beats of a loop; and of one that watches
-# the store, up to 21 s at once, or looks into it now and then.
-LONGEST_ROUND = 10.0
-LONGEST_STORE_ROUND = 30.0
+# Time-out in seconds between two heartbeats of a supervised loop, and of a
+# loop that watches the store, for up to 21 s at a time, or reads it
+# periodically.
+LOOP_TIMEOUT = 10.0
+STORE_LOOP_TIMEOUT = 30.0
+# Seconds between two checks whether the gateway can become ready.
 READY_POLL = 0.02
-# Seconds between two rounds of questions to seeds at the start.
+# Seconds between two rounds of polls to seeds at the start.
 SEED_PAUSE = 0.1
-# Longest wait in seconds for the answer of one.
+# Time-out of such a poll in seconds.
 SEED_TIMEOUT = 0.5
+# Seconds between two checks whether all requests are finished.
 STOP_POLL = 0.05
-# Longest waits in seconds, when all that was taken is done, for requests that
-# came in part, and after the cut for answers that are going out.
-STOP_LAST_READS = 0.5
-STOP_LAST_WRITES = 0.1
+# Maximum wait in seconds for partially received requests once all accepted
+# ones are finished.
+STOP_READ_TIMEOUT = 0.5
+# Maximum wait in seconds after the cut-off for answers that are being sent.
+STOP_WRITE_TIMEOUT = 0.1
 
 
 class Gateway:
-    """One gateway instance.
+    """A gateway instance.
 
     :param settings: GatewaySettings
     :param dialect: a Dialect
     :param store: a TransactionStore for budgets
     :param directory: a Directory of routers
-    :param sources: objects whose ``run(views)`` feeds the Views
-    :param decode: function from bytes of a configuration to RoutingTable
+    :param sources: objects whose ``run(views)`` updates the Views
+    :param decode: function from the bytes of a configuration to a
+        RoutingTable
+    :param clock: a Clock, by default the system's
     """
 
     def __init__(
@@ -97,7 +104,7 @@
         self._sources = sources
         self._store = store
         self._tasks = TaskSet()
-        self._loops = Supervisor(self._tasks, self.clock, self._note_restart)
+        self._loops = Supervisor(self._tasks, self.clock, self._count_restart)
         self._retries = {}
         self._build_peers(settings, store, directory, decode)
         self._build_forwarding(settings)
@@ -134,7 +141,7 @@
         self._views.on_table = self._apply_table
         self._views.on_upstreams = self._apply_upstreams
         self._views.push = self._peer_server.tell
-        self._peers.on_told = self._hear_told
+        self._peers.on_told = self._handle_pushed
         self.budgets = BudgetKeeper(
             incarnation,
             store,
@@ -146,16 +153,16 @@
 
     def _build_forwarding(self, settings):
         self.client = HttpClient(CONNECT_TIMEOUT, Keepalive())
-        # What silenced a connection to a peer may have silenced those to
-        # upstreams: a request on one would wait for its time-out.
+        # A fault that stalled a connection to a peer may have stalled those to
+        # upstreams, where a request would have to wait for its time-out.
         self._peers.on_silence = self.client.doubt
-        told = functools.partial(
+        recipients = functools.partial(
             update_recipients, self.members, settings.peers
         )
         self.limits = self._views.limits = RateLimits(
             self._peers,
             self.members,
-            told,
+            recipients,
             settings.peers,
             self.clock,
             self.metrics,
@@ -170,7 +177,7 @@
             self.pool,
             self.client,
             self._peers,
-            told,
+            recipients,
             settings.peers,
             self.clock,
             self.metrics,
@@ -186,9 +193,9 @@
         self.crashes.on_blocklist_change = self._blocklist.on_blocked
         self.crashes.on_blocked_answered = self._blocklist.on_blocked_answered
         self.refusals = Refusals(self.clock)
-        self.stopping = Stopping(self.members, self.clock)
+        self.stopping = GracefulStop(self.members, self.clock)
         self.forwarder = Forwarder(self)
-        self.crashes.on_blocked = self.forwarder.end
+        self.crashes.on_blocked = self.forwarder.abort
         self._prefixes = prefixes = PrefixMap()
         self._prefix_choice = PrefixChoice(settings.data_centre, prefixes)
         self._nearest_choice = NearestChoice(settings.data_centre)
@@ -215,34 +222,35 @@
 
     @property
     def table(self):
-        """Return the RoutingTable in force, or None."""
+        """Return the active RoutingTable, or None."""
         return self._views.table
 
     @property
     def upstreams(self):
-        """Return the UpstreamList in force."""
+        """Return the active UpstreamList."""
         return self._views.upstreams
 
     @property
     def ready(self):
-        """Return whether new callers are welcome.
+        """Return whether the router accepts new callers.
 
-        Without one of its loops a router serves by what gets ever older.
+        A router that lost one of its loops would route by increasingly stale
+        views.
         """
         if self._loops.failing or self._views.freshness.stale:
             return False
         return self.members.own_entry.state == READY
 
     def loop_silences(self):
-        """Return by loop the seconds since it was last heard of."""
+        """Return the seconds since the last heartbeat, by loop."""
         return self._loops.silences()
 
     def choice(self, engine):
-        """Return the Choice for engines or for plain services."""
+        """Return the Choice of upstreams for an engine or a plain service."""
         return self._prefix_choice if engine else self._nearest_choice
 
     def unread(self, state, job, now):
-        """Return the prompt tokens that an engine has to read of a job."""
+        """Return the prompt tokens of a job that an engine has not cached."""
         return self._prefix_choice.uncached_tokens(state, job, now)
 
     def retries(self, service):
@@ -280,7 +288,7 @@
 
     @functools.cached_property
     def _handlers(self):
-        """Return what answers a peer's message, by its type."""
+        """Return the function that handles a peer's message, by its type."""
         return {
             messages.Gossip: self.members.receive,
             messages.ViewAsk: self._views.handle,
@@ -296,8 +304,8 @@
         handle = self._handlers.get(type(message), self.budgets.handle)
         return handle(message)
 
-    def _hear_told(self, message):
-        """Take in what a peer that this router asks told by itself."""
+    def _handle_pushed(self, message):
+        """Handle a message that a polled peer pushed."""
         handle = self._handlers.get(type(message))
         if handle is None:
             LOG.error("peer_told_unknown", kind=type(message).__name__)
@@ -311,10 +319,10 @@
         responder.closing = True
         await self.refusals.send(responder, error)
 
-    # Life
+    # Start and stop
 
     async def start(self):
-        """Listen, and become ready once there is something to serve by."""
+        """Listen, and become ready once the views are known."""
         own = self.settings
         await self._peer_server.start(*split_address(own.peers))
         await self._health.start(own.health)
@@ -325,25 +333,25 @@
         LOG.info("gateway_started", incarnation=self.incarnation)
 
     def _start_loops(self):
-        """Start what must run as long as this router serves."""
+        """Start the loops that must run as long as this router serves."""
         for source in self._sources:
             run = functools.partial(source.run, self._views)
             name = type(source).__name__
-            self._loops.start(name, run, LONGEST_STORE_ROUND)
+            self._loops.start(name, run, STORE_LOOP_TIMEOUT)
         run = self._membership.run_heartbeats
-        self._loops.start("heartbeats", run, LONGEST_ROUND)
+        self._loops.start("heartbeats", run, LOOP_TIMEOUT)
         run = self._membership.run_list
-        self._loops.start("router_list", run, LONGEST_STORE_ROUND)
-        self._loops.start("views", self._views.run, LONGEST_ROUND)
-        self._loops.start("budgets", self.budgets.run, LONGEST_ROUND)
-        self._loops.start("suspects", self.crashes.run, LONGEST_ROUND)
-        self._loops.start("blocklist", self._blocklist.run, LONGEST_ROUND)
+        self._loops.start("router_list", run, STORE_LOOP_TIMEOUT)
+        self._loops.start("views", self._views.run, LOOP_TIMEOUT)
+        self._loops.start("budgets", self.budgets.run, LOOP_TIMEOUT)
+        self._loops.start("suspects", self.crashes.run, LOOP_TIMEOUT)
+        self._loops.start("blocklist", self._blocklist.run, LOOP_TIMEOUT)
 
-    def _note_restart(self, loop):
+    def _count_restart(self, loop):
         self.metrics.loop_restarts.inc({"loop": loop})
 
     async def _ask_seeds(self):
-        """Ask the seeds for views until there are some."""
+        """Poll the seeds until the views are known."""
         while not self._has_initial_views and self.settings.seeds:
             for address in self.settings.seeds:
                 if address != self.settings.peers:
@@ -362,25 +370,25 @@
             LOG.info("gateway_ready", config=self.table.version)
 
     def reload(self, settings):
-        """Take over settings that changed while running."""
+        """Apply settings that may change while running: the seeds."""
         self.settings.seeds = settings.seeds
         self.members.set_seeds(settings.seeds)
         LOG.info("settings_reloaded", seeds=settings.seeds)
 
     async def stop(self):
-        """Stop: no new callers, finish requests, hand tokens over."""
+        """Shut down: finish the requests, and hand off the tokens."""
         self.stopping.begin(self.settings.stop_grace)
         self.members.set_state(LEAVING)
         self._server.drain()
         self.forwarder.bound_open()
         LOG.info("gateway_stopping", busy=self._server.busy)
-        self.budgets.withhold(self.stopping.unmade)
-        await self._hand_over()
+        self.budgets.withhold(self.stopping.remaining_tokens)
+        await self._hand_off()
         await self._finish_requests()
         self.stopping.close()
         self.budgets.withhold({})
-        await self._hand_over()
-        await self._server.finish(self._last_wait(), self._time_to_cut)
+        await self._hand_off()
+        await self._server.finish(self._read_timeout(), self._time_to_cutoff)
         LOG.info(
             "gateway_stopped",
             busy=self._server.busy,
@@ -389,31 +397,36 @@
         )
         await self.close()
 
-    async def _hand_over(self):
-        """Pass tokens on; an error must not end answers that are in hand."""
+    async def _hand_off(self):
+        """Hand off tokens; an error must not interrupt answers in flight."""
         try:
             await self.budgets.hand_off()
         except Exception:
             LOG.exception("hand_over_failed")
 
     async def _finish_requests(self):
-        """Wait until all that was taken is answered, or is to be cut."""
+        """Wait until all accepted requests are answered or cut off."""
         while not self.stopping.finished:
-            if self.clock.steady() >= self.stopping.cut_at + STOP_LAST_WRITES:
+            if (
+                self.clock.steady()
+                >= self.stopping.cutoff_at + STOP_WRITE_TIMEOUT
+            ):
                 return
-            if not self.stopping.lingering:
+            if not self.stopping.deregistering:
                 self._server.close_idle()
             await asyncio.sleep(STOP_POLL)
 
     @property
-    def _time_to_cut(self):
-        return self.stopping.cut_at - self.clock.steady()
+    def _time_to_cutoff(self):
+        return self.stopping.cutoff_at - self.clock.steady()
 
-    def _last_wait(self):
-        return max(STOP_LAST_WRITES, min(STOP_LAST_READS, self._time_to_cut))
+    def _read_timeout(self):
+        return max(
+            STOP_WRITE_TIMEOUT, min(STOP_READ_TIMEOUT, self._time_to_cutoff)
+        )
 
     async def close(self):
-        """Drop everything at once."""
+        """Close all connections and stop all tasks at once."""
         self._tasks.cancel()
         self.crashes.close()
         await self._server.close()
--- a/rowanport/gateway/decisions.py
+++ b/rowanport/gateway/decisions.py
@@ -1,4 +1,4 @@
-"""One log line and one count for each decision on a request."""
+"""Logs and counts the outcome of each request and send."""
 
 import structlog
 
@@ -9,7 +9,7 @@
 
 
 class DecisionLog:
-    """Logs and counts what became of requests and sends.
+    """Writes the log lines and counts the outcomes of requests and sends.
 
     :param metrics: the GatewayMetrics
     :param clock: a Clock
@@ -19,10 +19,12 @@
         self._metrics = metrics
         self._clock = clock
 
-    def note_send(self, job, state, outcome, error):
-        """Note a send that did not end in an answer.
+    def log_send(self, job, state, outcome, error):
+        """Log and count a send that did not end in an answer.
 
-        :param state: the UpstreamState that it went to
+        :param state: the UpstreamState of its upstream
+        :param outcome: label of the outcome
+        :param error: what ended the send
         """
         self._metrics.sends.inc({"outcome": outcome})
         LOG.info(
@@ -38,17 +40,18 @@
             failures=state.failures,
         )
 
-    def note_answered(self):
-        """Count a send that ended in an answer; the request's line says it."""
+    def count_answered(self):
+        """Count a send that ended in an answer; log_end() logs it."""
         self._metrics.sends.inc({"outcome": "answered"})
 
-    def note_end(self, job, outcome, arrived, why="", used=None, revision=0):
-        """Note the end of a request.
+    def log_end(self, job, outcome, arrived, why="", used=None, revision=0):
+        """Log and count the end of a request.
 
         :param job: its Job, or None if it was not admitted
-        :param arrived: steady time of its arrival
+        :param arrived: monotonic time of its arrival
+        :param why: reason of an error
         :param used: tokens settled, None if it draws on no budget
-        :param revision: of the list of upstreams in force
+        :param revision: revision of the active list of upstreams
         """
         seconds = self._clock.steady() - arrived
         self._metrics.answers.inc({"outcome": outcome})
@@ -79,7 +82,10 @@
         )
 
     def _first_ms(self, job):
-        """Return the milliseconds to the first event, or None."""
+        """Return the milliseconds to the first event, None without one.
+
+        The time is counted in the metrics, too.
+        """
         if job.first_event_at is None:
             return None
         seconds = job.first_event_at - job.arrived
--- a/rowanport/gateway/events.py
+++ b/rowanport/gateway/events.py
@@ -1,13 +1,13 @@
-"""Splits a stream of events at their ends, whatever pieces it comes in."""
+"""Splits a stream of bytes into events, however it is chunked."""
 
 END = b"\n\n"
 
 
 class Event:
-    """One whole event.
+    """A complete event.
 
-    :ivar data: its bytes, the empty line at its end included
-    :ivar id: its number, or None
+    :ivar data: its bytes, including the empty line at its end
+    :ivar id: its integer id, or None
     """
 
     __slots__ = ("data", "id")
@@ -18,19 +18,19 @@
 
 
 class EventSplitter:
-    """Collects pieces and returns the events that are whole."""
+    """Collects chunks and returns the events that are complete."""
 
     def __init__(self):
         self._rest = b""
 
     @property
-    def torn(self):
-        """Return whether an event has begun that is not whole."""
+    def has_partial_event(self):
+        """Return whether the bytes so far end within an event."""
         return bool(self._rest.strip())
 
-    def feed(self, piece):
-        """Take in a piece; return the list of events that it completes."""
-        events = (self._rest + piece).split(END)
+    def feed(self, chunk):
+        """Add a chunk; return the list of events that it completes."""
+        events = (self._rest + chunk).split(END)
         self._rest = events.pop()
         return [Event(event + END) for event in events]
 
--- a/rowanport/gateway/exchange.py
+++ b/rowanport/gateway/exchange.py
@@ -1,21 +1,21 @@
-"""One send of a request to one upstream."""
+"""Sends requests to upstreams and validates their answers' heads."""
 
 from ..errors import UpstreamError
 from .headers import HeaderFilter
 
-# Statuses that tell a caller that nothing ran; an upstream means them so only
-# if it marks them.
-PROMISES = (408, 429, 503)
-# The status that means it without a mark.
+# Statuses by which callers conclude that a request was not executed.  An
+# answer of an upstream says so only if it has the not-executed header, too.
+NOT_EXECUTED_STATUSES = (408, 429, 503)
+# The status that says so without that header.
 MISDIRECTED = 421
-# An engine's priorities reach from 0 to 9.
+# Priorities of an engine range from 0 to 9.
 LOWEST_PRIORITY = 9
 
 
 class NotExecuted(UpstreamError):
-    """An upstream says that it did not run the request.
+    """An upstream answered that it did not execute the request.
 
-    :ivar misdirected: whether another upstream has its address by now
+    :ivar misdirected: whether another upstream uses its address now
     """
 
     def __init__(self, detail, misdirected=False):
@@ -24,12 +24,12 @@
 
 
 class Exchange:
-    """Sends jobs to upstreams and checks the heads of their answers.
+    """Sends jobs to upstreams and validates the heads of their answers.
 
     :param client: an HttpClient
     :param dialect: a Dialect
     :param clock: a Clock
-    :param limits: the RateLimits, which hear what answers say
+    :param limits: the RateLimits, updated from the answers
     """
 
     def __init__(self, client, dialect, clock, limits):
@@ -40,15 +40,14 @@
         self._filter = HeaderFilter(dialect)
 
     async def send(self, job, upstream, check):
-        """Send a job and return the HttpAnswer that belongs to it.
+        """Send a job; return its HttpAnswer once the head has arrived.
 
-        It waits as long as the job may.
+        There is no time-out here; the caller limits the job's time.
 
-        :param check: function that is called before the first byte goes out;
-            it may raise UpstreamLeft
-
-        :raises NotExecuted: the upstream surely did not run it
-        :raises UpstreamError: ``started`` says whether it may have run
+        :param check: function that is called before the first byte is sent; it
+            may raise UpstreamLeft
+        :raises NotExecuted: the upstream did not execute the request
+        :raises UpstreamError: ``started`` tells whether it may have run
         """
         owner = (self._dialect.request_id.encode(), job.id)
         answer = await self._client.request(
@@ -61,7 +60,7 @@
             owner if job.id else None,
             check=check,
         )
-        self._note_limit(upstream, answer)
+        self._record_limit(upstream, answer)
         try:
             self._check(job, answer)
         except UpstreamError:
@@ -69,8 +68,12 @@
             raise
         return answer
 
-    def _note_limit(self, upstream, answer):
-        """Take in the rate limit that an upstream's own answer names."""
+    def _record_limit(self, upstream, answer):
+        """Record the rate limit that an answer names, if it names one.
+
+        Only an answer with a signature or a not-executed header is the
+        upstream's own.
+        """
         names = self._dialect
         if answer.status == MISDIRECTED:
             return
@@ -98,22 +101,26 @@
         return headers
 
     def _check(self, job, answer):
-        """Raise unless the answer is the job's own and may be passed on."""
+        """Raise UpstreamError unless the answer may be forwarded."""
         names = self._dialect
         if names.not_executed in answer.headers:
             raise NotExecuted(f"status {answer.status}")
         if answer.status == MISDIRECTED:
-            raise NotExecuted("another upstream is there", misdirected=True)
-        # Passed on, it would let a caller repeat what may have run.
-        if answer.status in PROMISES:
-            raise UpstreamError(f"status {answer.status} without its mark")
+            raise NotExecuted(
+                "another upstream at the address", misdirected=True
+            )
+        # If forwarded, a caller might repeat a request that may have run.
+        if answer.status in NOT_EXECUTED_STATUSES:
+            raise UpstreamError(
+                f"status {answer.status} without a not-executed header"
+            )
         if names.request_id not in answer.headers:
-            raise UpstreamError("an answer without an id")
+            raise UpstreamError("answer without a request id")
         if answer.headers.get("content-encoding", "identity") != "identity":
-            raise UpstreamError("an encoded answer")
+            raise UpstreamError("answer with a content encoding")
         if answer.status < 300 and names.signature not in answer.headers:
-            raise UpstreamError("an answer without a signature")
+            raise UpstreamError("answer without a signature")
 
     def answer_fields(self, answer):
-        """Return the headers of an answer that are passed on."""
+        """Return the headers of an answer that are forwarded."""
         return self._filter.answer_fields(answer.fields)
--- a/rowanport/gateway/relay.py
+++ b/rowanport/gateway/relay.py
@@ -1,21 +1,22 @@
-"""Passes an upstream's answer on to the caller."""
+"""Forwards an upstream's answer to the caller."""
 
 import abc
 
 from ..errors import UpstreamError
 from .events import EventSplitter
 
-# Larger answers are passed on as they come, not held until they are whole.
+# Size in bytes up to which an answer is buffered until it is complete; a
+# larger one is forwarded as it arrives.
 BUFFER_LIMIT = 1024 * 1024
 
 
 class Relay(abc.ABC):
-    """Passes one answer on, and notes in its Job how far it came.
+    """Forwards one answer, and records the progress in its Job.
 
     :param job: the Job
-    :param fields: headers of the answer that are passed on
+    :param fields: headers to forward
     :param answer: the HttpAnswer
-    :param responder: the Responder
+    :param responder: the Responder of the caller
     :param clock: a Clock
     """
 
@@ -27,75 +28,78 @@
         self._clock = clock
 
     @abc.abstractmethod
-    async def pass_on(self, piece):
-        """Take in a piece of the answer, and pass on what can be."""
+    async def forward(self, chunk):
+        """Process a chunk of the answer, and forward what can be."""
 
     @abc.abstractmethod
     async def finish(self):
-        """Take in the end of the answer.
+        """Process the end of the answer.
 
-        :raises UpstreamError: it is not whole
+        :raises UpstreamError: the answer is incomplete
         """
 
     async def _start(self):
-        """Send the head unless an earlier answer's went out."""
+        """Send the head, unless that of an earlier answer was sent."""
         if not self._responder.started:
             await self._responder.start(self._answer.status, self._fields)
 
 
-class WholeRelay(Relay):
-    """Passes an answer on once it is whole, or too large to hold."""
+class BufferedRelay(Relay):
+    """Buffers an answer until it is complete or too large to buffer."""
 
     def __init__(self, *args):
         super().__init__(*args)
-        self._held = []
+        self._buffer = []
         self._size = 0
 
-    async def pass_on(self, piece):
-        """Hold a piece, or pass on what is too large to hold."""
-        self._held.append(piece)
-        self._size += len(piece)
+    async def forward(self, chunk):
+        """Buffer a chunk; forward the buffer if it is too large."""
+        self._buffer.append(chunk)
+        self._size += len(chunk)
         if self._size > BUFFER_LIMIT:
-            await self._pass_held()
+            await self._flush()
 
     async def finish(self):
-        """Pass on what is held."""
+        """Forward the buffer and end the answer."""
         if not self._responder.started:
             self._fields.append(("content-length", str(self._size)))
         self._job.complete = True
-        await self._pass_held()
+        await self._flush()
         await self._responder.finish()
 
-    async def _pass_held(self):
+    async def _flush(self):
         await self._start()
-        if self._held:
-            await self._responder.write(b"".join(self._held))
-            self._held.clear()
+        if self._buffer:
+            await self._responder.write(b"".join(self._buffer))
+            self._buffer.clear()
 
 
 class EventRelay(Relay):
-    """Passes events on as they come, each whole and each once."""
+    """Forwards complete events as they arrive, each of them once."""
 
     def __init__(self, *args):
         super().__init__(*args)
         self._splitter = EventSplitter()
 
-    async def pass_on(self, piece):
-        """Pass on the events that a piece completes."""
+    async def forward(self, chunk):
+        """Forward the events that a chunk completes."""
         await self._start()
         job = self._job
         events = [
             event
-            for event in self._splitter.feed(piece)
-            if _is_next(job, event)
+            for event in self._splitter.feed(chunk)
+            if _is_new(job, event)
         ]
         if events:
             job.record_events(events, self._clock.steady())
             await self._responder.write(b"".join(e.data for e in events))
 
     async def finish(self):
-        """End the stream."""
-        if self._splitter.torn:
+        """End the stream.
+
+        :raises UpstreamError: the last event is incomplete
+        """
+        if self._splitter.has_partial_event:
             raise UpstreamError("the stream ended within an event")
         await self._start()
         self._job.complete = True
@@ -103,13 +107,13 @@
 
 
 def is_stream(answer):
-    """Return whether an HttpAnswer is a series of events."""
+    """Return whether an HttpAnswer is a stream of events."""
     kind = answer.headers.get("content-type", "")
     return answer.status == 200 and kind.startswith("text/event-stream")
 
 
-def _is_next(job, event):
-    """Return whether an event has not been passed on yet."""
+def _is_new(job, event):
+    """Return whether an event has not been forwarded yet."""
     if event.id is None or job.last_event is None:
         return True
     return event.id > job.last_event
--- a/rowanport/gateway/sender.py
+++ b/rowanport/gateway/sender.py
@@ -1,4 +1,4 @@
-"""Sends one request to upstreams until it is answered."""
+"""Sends a request to upstreams until it is answered."""
 
 import asyncio
 import functools
@@ -10,81 +10,82 @@
 from .attempt import Attempt
 from .exchange import NotExecuted
 from .race import Race
+from .relay import BufferedRelay
 from .relay import EventRelay
 from .relay import is_stream
-from .relay import WholeRelay
 from .retry_policy import final_error
 from .retry_policy import RetryRefused
 
-# Part of the remaining time after which a repeatable request that has no
-# answer is sent to another upstream as well.
-SILENCE_SHARE = 0.4
-# The same for a stream that may be resumed, as a multiple of its objective
-# before the first event: callers give a stream up after 2 s or more.
+# Share of the remaining time after which a repeatable request without an
+# answer is hedged, that is, sent to another upstream as well.
+STALL_SHARE = 0.4
+# Multiple of the route's objective after which a resumable stream without a
+# first event is hedged: callers give up on a stream after 2 s or more.
 FIRST_EVENT_OBJECTIVES = 3.0
-# The same in seconds within such a stream.
-EVENT_SILENCE = 1.5
-# Seconds after which it is asked again whether a send is allowed: an
-# allowance or tokens may be free by then.
-ASK_AGAIN = 0.25
+# Seconds without an event after which such a stream is hedged later on.
+EVENT_STALL = 1.5
+# Seconds until a hedge that was refused is tried again: a retry allowance or
+# tokens may have become available.
+HEDGE_RETRY_INTERVAL = 0.25
 
 
 class JobSender:
-    """The sends of one Job.
+    """Sends one Job, to one upstream after another or to several at once.
 
-    :param gateway: the Gateway, for its parts
+    :param gateway: the Gateway, whose components it uses
     :param log: the DecisionLog
-    :param repeats: the RetryPolicy
+    :param retry_policy: the RetryPolicy
     :param job: the Job
     :param responder: the Responder of its caller
     """
 
-    def __init__(self, gateway, log, repeats, job, responder):
+    def __init__(self, gateway, log, retry_policy, job, responder):
         self._gateway = gateway
         self._clock = gateway.clock
         self._log = log
         self._crashes = gateway.crashes
-        self._repeats = repeats
+        self._retry_policy = retry_policy
         self._job = job
         self._responder = responder
         self._attempts = []
 
     async def run(self):
-        """Send the job until its answer was passed on whole.
+        """Send the job until its answer has been forwarded completely.
 
-        :raises RequestError: it cannot be served
+        :raises RequestError: the job cannot be served
         """
         try:
-            attempt = await self._begin_admitted()
+            attempt = await self._start_admitted()
             while not self._job.complete:
-                attempt = await self._step(attempt)
+                attempt = await self._advance(attempt)
             attempt.state.record_success()
             run = attempt.state.record.run
             self._crashes.record_success(self._job, run)
-            self._log.note_answered()
+            self._log.count_answered()
         finally:
             for attempt in self._attempts:
                 self._close(attempt)
 
-    async def _step(self, attempt):
-        """Go on by one sign of an upstream; return the Attempt to go on with.
+    async def _advance(self, attempt):
+        """Handle the next progress, stall or failure of an Attempt.
 
-        :raises RequestError: nothing can follow
+        :returns: the Attempt to continue with
+        :raises RequestError: the job cannot be sent again
         """
         try:
-            if not await self._advances(attempt):
-                return await self._follow_silence(attempt)
+            if not await self._wait_for_data(attempt):
+                return await self._hedge(attempt)
             self._check(attempt)
             await attempt.forward()
-            self._note_sign(attempt)
+            self._restart_stall_timeout(attempt)
             return attempt
         except UpstreamError as error:
             self._drop(attempt, error)
-            self._repeats.check_retry(self._job, self._responder, error)
-            return await self._begin_admitted()
+            self._retry_policy.check_retry(self._job, self._responder, error)
+            return await self._start_admitted()
 
-    async def _advances(self, attempt):
-        """Wait for a sign of an upstream; return False if it stays silent."""
+    async def _wait_for_data(self, attempt):
+        """Wait for data of the upstream; return False if it stalls."""
         if attempt.stalled_at is None:
             await attempt.advance()
             return True
@@ -97,62 +98,62 @@
         return True
 
     def _check(self, attempt):
-        """Raise UpstreamError unless an answer is to be passed on.
+        """Raise UpstreamError unless the answer is to be forwarded.
 
-        A failure of the upstream is the caller's answer only if nothing can
-        follow it.
+        A failure of the upstream is forwarded only if the job cannot be sent
+        again.
         """
-        if attempt.chosen:
+        if attempt.forwarding:
             return
-        if self._responder.started or self._can_run_again:
+        if self._responder.started or self._may_retry:
             attempt.check(self._responder)
 
     @property
-    def _can_run_again(self):
-        return self._repeats.may_retry(self._job, self._responder)
+    def _may_retry(self):
+        return self._retry_policy.may_retry(self._job, self._responder)
 
     # Sends
 
-    async def _begin_admitted(self):
-        """Send the job to one more upstream once it may run.
+    async def _start_admitted(self):
+        """Send the job to another upstream as soon as it may run.
 
         :returns: the Attempt
-        :raises RequestError: it may not, or no upstream is left
+        :raises RequestError: it may not run, or no upstream is left
         """
         self._gateway.stopping.check_send(self._job)
         await self._crashes.admit(self._job)
         while True:
             state = self._choose()
             if await self._gateway.limits.acquire(state):
-                return self._begin(state)
+                return self._start(state)
 
-    def _begin(self, state):
+    def _start(self, state):
         """Send the job to an upstream; return the Attempt."""
         job = self._job
         job.sends += 1
         job.runs += 1
-        # Counted at once, so that others of this moment go elsewhere.
-        ahead = self._note_load(state)
+        # Counted before the send, so that concurrent requests go elsewhere.
+        ahead = self._record_load(state)
         opening = asyncio.ensure_future(self._open(state, ahead))
         flight = self._crashes.start_run(job, state)
         attempt = Attempt(state, opening, self._relay, flight)
         self._attempts.append(attempt)
-        self._note_sign(attempt)
+        self._restart_stall_timeout(attempt)
         job.upstream = state.record.id
         return attempt
 
     def _choose(self):
-        """Return the UpstreamState to which the job goes next.
+        """Return the UpstreamState to which the job is sent next.
 
         :raises RequestError: no upstream is left
         """
         gateway, job = self._gateway, self._job
         now = self._clock.steady()
         candidates = gateway.pool.candidates(job.service, job.tried, now)
-        return self._choose_among(self._taking(candidates, now))
+        return self._choose_among(self._accepting(candidates, now))
 
-    def _taking(self, candidates, now):
-        """Return the candidates that surely take requests now."""
+    def _accepting(self, candidates, now):
+        """Return the candidates that are known to accept requests now."""
         try:
             self._gateway.views.freshness.check()
             return self._gateway.limits.with_permits(candidates, now)
@@ -175,27 +176,28 @@
         return state
 
     def _check_in_time(self, choice, candidates, now):
-        """Refuse a job that no upstream begins in time.
+        """Refuse a job that no upstream would start in time.
 
-        One that was sent before is not turned away: it may have run.
+        Called only before the first send: a job that was sent may have run.
 
-        :raises RequestError: with the time at which it may come back
+        :raises RequestError: overloaded; it names the time for a retry
         """
         late = choice.late_start(candidates, self._job, now)
         if late is not None:
             raise RequestError(
                 ErrorKind.OVERLOADED,
-                f"begun in {late.wait:.2f} s, {late.due:.2f} s are due",
+                f"start expected in {late.wait:.2f} s, limit {late.due:.2f} s",
                 come_back_at=late.come_back_at,
             )
 
     async def _open(self, state, ahead):
-        """Return the head of an upstream's answer.
+        """Send the job; return the HttpAnswer once its head has arrived.
 
-        :param ahead: prompt tokens that the engine has to read before it
+        :param ahead: prompt tokens that the engine has to process before the
+            first event
         """
         sent_at = self._clock.steady()
-        check = functools.partial(self._check_last, state)
+        check = functools.partial(self._check_before_send, state)
         answer = await self._gateway.exchange.send(
             self._job, state.record, check
         )
@@ -204,23 +206,27 @@
             state.backlog.record_first_event(ahead, now - sent_at, now)
         return answer
 
-    def _check_last(self, state):
-        """Raise UpstreamLeft if it does not take the job any more.
+    def _check_before_send(self, state):
+        """Raise UpstreamLeft if the upstream accepts no requests any more.
 
         It may have left while the job waited for a permit or a connection.
         """
         gateway, record = self._gateway, state.record
         if gateway.pool.get(record.id) is not state or record.leaving:
-            raise UpstreamLeft("it left meanwhile")
+            raise UpstreamLeft("upstream left before the send")
         freshness = gateway.views.freshness
         if record.lapsing and not freshness.peers_responsive:
-            raise UpstreamLeft("its entry is gone, and nobody says why")
+            raise UpstreamLeft("upstream has no entry and peers do not answer")
         if freshness.stale:
-            raise UpstreamLeft("whether it left is not known any more")
+            raise UpstreamLeft("the list of upstreams is stale")
         self._job.view_age = freshness.age
 
-    def _note_load(self, state):
-        """Count a job's prompt; return what the engine has to read with it."""
+    def _record_load(self, state):
+        """Add the job's prompt to the load of an upstream.
+
+        :returns: the prompt tokens that the engine has to process before the
+            first event
+        """
         job, gateway = self._job, self._gateway
         if job.tokens is None:
             return 0
@@ -229,28 +235,28 @@
 
     def _relay(self, answer):
         """Return the Relay of an HttpAnswer."""
-        kind = EventRelay if is_stream(answer) else WholeRelay
+        kind = EventRelay if is_stream(answer) else BufferedRelay
         fields = self._gateway.exchange.answer_fields(answer)
         return kind(self._job, fields, answer, self._responder, self._clock)
 
     def _drop(self, attempt, error):
-        """Note that an Attempt failed, and close it."""
+        """Record the failure of an Attempt, and close it."""
         job, state = self._job, attempt.state
         job.tried.add(state.record.run)
         if not error.started:
             job.runs -= 1
-            self._repeats.release_hedge(job, attempt.tokens)
+            self._retry_policy.release_hedge(job, attempt.tokens)
         if isinstance(error, UpstreamLeft):
             job.sends -= 1
-            self._log.note_send(job, state, "left", error)
+            self._log.log_send(job, state, "left", error)
         elif isinstance(error, NotExecuted):
-            self._note_rejection(state, error)
+            self._record_rejection(state, error)
         else:
-            self._note_failure(state, error)
+            self._record_failure(state, error)
         self._close(attempt, error)
 
     def _close(self, attempt, error=None):
-        """Close an Attempt; it may be closed again.
+        """Close an Attempt; may be called more than once.
 
         :param error: the UpstreamError that ended it, or None
         """
@@ -258,51 +264,52 @@
             self._crashes.finish_run(attempt.flight, error)
             attempt.close()
 
-    def _note_rejection(self, state, error):
+    def _record_rejection(self, state, error):
         self._job.rejections += 1
         if error.misdirected:
             state.record_failure(self._clock.steady(), weight=2)
             self._gateway.client.forget(state.record.address)
-        self._log.note_send(self._job, state, "not_executed", error)
+        self._log.log_send(self._job, state, "not_executed", error)
 
-    def _note_failure(self, state, error):
+    def _record_failure(self, state, error):
         weight = 1
         if not error.started:
             self._job.failed_connections += 1
             weight = 2
         state.record_failure(self._clock.steady(), weight)
-        self._log.note_send(self._job, state, "failed", error)
+        self._log.log_send(self._job, state, "failed", error)
 
-    # Silence
+    # Stalls and hedging
 
-    def _note_sign(self, attempt):
-        """Count an upstream's silence from now on."""
+    def _restart_stall_timeout(self, attempt):
+        """Restart the stall time-out of an Attempt."""
         attempt.stall_note = None
-        silence = self._silence(attempt)
+        timeout = self._stall_timeout(attempt)
         attempt.stalled_at = None
-        if silence is not None:
-            attempt.stalled_at = self._clock.steady() + silence
+        if timeout is not None:
+            attempt.stalled_at = self._clock.steady() + timeout
 
-    def _silence(self, attempt):
-        """Return the longest silence in seconds, None for any."""
+    def _stall_timeout(self, attempt):
+        """Return the stall time-out in seconds, None for no time-out."""
         job = self._job
-        if not self._can_run_again:
+        if not self._may_retry:
             return None
         if attempt.head_received and is_stream(attempt.answer):
-            return EVENT_SILENCE
+            return EVENT_STALL
         if job.tokens is not None:
             return FIRST_EVENT_OBJECTIVES * job.route.objective
-        return SILENCE_SHARE * (job.deadline - self._clock.steady())
+        return STALL_SHARE * (job.deadline - self._clock.steady())
 
-    async def _follow_silence(self, attempt):
-        """Ask another upstream beside a silent one, if that is allowed.
+    async def _hedge(self, attempt):
+        """Hedge a stalled Attempt if that is allowed.
 
-        The silent one may work on, so it is let go only once the other one
-        goes on: given up at once, its stream is cut where none may follow.
+        The stalled upstream may still answer, so its Attempt is closed only
+        once another one delivers data: closing it at once would cut the stream
+        if no other upstream answers.
 
-        :returns: the Attempt to go on with
+        :returns: the Attempt to continue with
         """
-        other = self._begin_beside(attempt)
+        other = self._start_hedge(attempt)
         if other is None:
             return attempt
         race = Race(
@@ -310,50 +317,53 @@
             other,
             self._responder,
             self._clock,
-            self._begin_beside,
+            self._start_hedge,
             self._drop,
         )
         winner = await race.run()
         self._close_losers(race.attempts, winner)
         self._job.upstream = winner.state.record.id
         if winner.usable:
-            self._note_sign(winner)
+            self._restart_stall_timeout(winner)
         else:
-            winner.stalled_at = self._clock.steady() + ASK_AGAIN
+            winner.stalled_at = self._clock.steady() + HEDGE_RETRY_INTERVAL
         return winner
 
-    def _begin_beside(self, silent):
-        """Send the job once more beside a silent Attempt.
+    def _start_hedge(self, stalled):
+        """Send the job to another upstream while an Attempt is stalled.
 
-        :returns: the other Attempt, None if that is not allowed now
+        :returns: the new Attempt, None if that is not allowed now
         """
         job = self._job
-        job.tried.add(silent.state.record.run)
+        job.tried.add(stalled.state.record.run)
         try:
-            tokens = self._repeats.reserve_hedge(job, self._responder)
+            tokens = self._retry_policy.reserve_hedge(job, self._responder)
         except RetryRefused as refusal:
-            self._note_silence(silent, str(refusal))
-            silent.stalled_at = self._clock.steady() + ASK_AGAIN
+            self._record_stall(stalled, str(refusal))
+            stalled.stalled_at = self._clock.steady() + HEDGE_RETRY_INTERVAL
             return None
-        state = self._choose_among(self._repeats.hedge_candidates(job))
-        other = self._begin(state)
+        state = self._choose_among(self._retry_policy.hedge_candidates(job))
+        other = self._start(state)
         other.tokens = tokens
         name = other.state.record.id
-        self._note_silence(silent, f"{name} is asked as well")
+        self._record_stall(stalled, f"hedged by {name}")
         return other
 
-    def _note_silence(self, attempt, why):
-        """Count a silence against its upstream; log what it leads to."""
+    def _record_stall(self, attempt, reaction):
+        """Count a stall as a failure of its upstream, and log the reaction.
+
+        :param reaction: what was done about it, or why nothing was
+        """
         if attempt.stall_note is None:
-            # What is new goes elsewhere for a while.
+            # New requests avoid the upstream for a while.
             attempt.state.record_failure(self._clock.steady())
-        if attempt.stall_note != why:
-            attempt.stall_note = why
-            self._log.note_send(self._job, attempt.state, "silent", why)
+        if attempt.stall_note != reaction:
+            attempt.stall_note = reaction
+            self._log.log_send(self._job, attempt.state, "silent", reaction)
 
-    def _close_losers(self, racers, winner):
-        why = f"{winner.state.record.id} was first"
-        for loser in racers:
+    def _close_losers(self, attempts, winner):
+        why = f"{winner.state.record.id} answered first"
+        for loser in attempts:
             if loser is not winner:
                 self._close(loser)
-                self._log.note_send(self._job, loser.state, "superseded", why)
+                self._log.log_send(self._job, loser.state, "superseded", why)
--- a/rowanport/gateway/stopping.py
+++ b/rowanport/gateway/stopping.py
@@ -1,9 +1,10 @@
-"""The planned stop of a gateway: what it still takes, and until when.
+"""Graceful shutdown of a gateway: which requests it still accepts.
 
-A stop has three parts.  Until ``linger_until`` callers are served, as the
-balancer still sends them.  Until ``cut_at`` what was taken is finished, and
-new requests are refused with a promise, so that they are served elsewhere.
-From then on nothing is in hand, and all is refused.
+A shutdown has three phases.  Until ``deregistered_at`` requests are accepted,
+since the load balancer still sends them.  Until ``cutoff_at`` the accepted
+requests are finished, and new ones are refused as not executed, so that
+callers can safely send them to another router.  After that all requests are
+refused.
 """
 
 import collections
@@ -11,183 +12,191 @@
 from ..errors import ErrorKind
 from ..errors import RequestError
 
-# Seconds after the signal during which callers are served: the balancer needs
-# two missed checks, one a second; also until written limits on tokens bind no
-# more, so that all are handed over.
-LINGER = 2.9
-# Part of the time until the cut that this takes at most: what is taken last
-# has longer than that to end.
-LINGER_SHARE = 0.45
-# Seconds before the end of the grace period at which open requests are given
-# up: the last answers have 0.1 s to go out, tokens 0.7 s to be handed over or
-# given back, what came in part 0.1 s, late timers and the end the rest.
+# Seconds after the signal during which requests are accepted.  The load
+# balancer removes a router after two failed checks, one a second.  By the end
+# of this time recorded limits on tokens have expired, too, so that all tokens
+# can be handed off.
+DEREGISTRATION_SECONDS = 2.9
+# Maximum share of the time until the cut-off for this phase, so that requests
+# accepted at its end have more time than that to finish.
+DEREGISTRATION_SHARE = 0.45
+# Seconds between the cut-off and the end of the grace period: 0.1 s for
+# sending the last answers, 0.7 s for handing off or returning tokens, 0.1 s
+# for partially received requests, the rest for late timers and the exit.
 RESERVE = 1.0
-# Part of the grace period that this takes at most: with a grace of 3 s the cut
-# comes after 2.55 s in place of 2.0, and more answers end by themselves.
+# Maximum share of the grace period for this: with a grace period of 3 s the
+# cut-off comes after 2.55 s rather than 2.0 s, and more answers are completed.
 RESERVE_SHARE = 0.15
-# Seconds before the cut at which a request's own time has to be over, so that
-# its answer surely goes out.
-MARGIN = 0.1
-# Seconds after which some router is back when all of them stop together: they
-# finish streams of a second or two, and are ready 0.7 s after their end.
-RETURN = 2.5
-# Weight of the newest request in the usual time of its service.
+# Seconds before the cut-off at which the deadline of a request has to be, so
+# that its answer can be sent.
+DEADLINE_MARGIN = 0.1
+# Seconds after which some router is ready again if all stop at the same time:
+# they finish streams of a second or two, and are ready 0.7 s after their exit.
+RESTART_SECONDS = 2.5
+# Weight of the newest request in the moving average of answer times.
 NEWEST_WEIGHT = 0.1
 
 
 class Durations:
-    """The usual time of whole answers, by service."""
+    """Moving average of the time of complete answers, by service."""
 
     def __init__(self):
         self._seconds = {}
 
     def record(self, service, seconds):
-        """Take in the time of an answer that went out whole."""
-        usual = self._seconds.get(service, seconds)
-        usual += NEWEST_WEIGHT * (seconds - usual)
-        self._seconds[service] = usual
+        """Add the time of a complete answer."""
+        average = self._seconds.get(service, seconds)
+        average += NEWEST_WEIGHT * (seconds - average)
+        self._seconds[service] = average
 
-    def usual(self, service):
-        """Return the usual time in seconds, 0 while none is known."""
+    def average(self, service):
+        """Return the average time in seconds, 0 while none is known."""
         return self._seconds.get(service, 0.0)
 
 
-class Stopping:
-    """Whether a gateway stops, and what it takes meanwhile.
+class GracefulStop:
+    """The state of a shutdown, and which requests are accepted during it.
 
-    :param members: the Membership, which tells who else is there
+    :param members: the Membership
     :param clock: a Clock
-    :ivar linger_until: steady time until which callers are served, None
-        before the signal
-    :ivar cut_at: steady time at which open requests are given up
-    :ivar closed: whether nothing is taken any more
-    :ivar refused: requests refused because of the stop
-    :ivar cut: requests given up while an upstream may have been at work
+    :ivar deregistered_at: monotonic time until which requests are accepted,
+        None before the signal
+    :ivar cutoff_at: monotonic time at which unfinished requests are ended,
+        None before the signal
+    :ivar closed: whether all requests are refused
+    :ivar refused: number of requests refused because of the shutdown
+    :ivar cut: number of requests ended while an upstream may have been
+        processing them
     """
 
     def __init__(self, members, clock):
         self._members = members
         self._clock = clock
         self._durations = Durations()
-        # In hand: those taken before the linger's end, and those after it.
-        self._held = set()
-        self._late = set()
-        self.linger_until = None
-        self.cut_at = None
+        # Jobs in flight, by whether they were accepted before deregistration.
+        self._jobs = set()
+        self._late_jobs = set()
+        self.deregistered_at = None
+        self.cutoff_at = None
         self.closed = False
         self.refused = 0
         self.cut = 0
 
     @property
     def begun(self):
-        """Return whether the signal to stop came."""
-        return self.cut_at is not None
+        """Return whether the shutdown has begun."""
+        return self.cutoff_at is not None
 
     @property
-    def lingering(self):
-        """Return whether the stop has begun and callers are still served."""
-        return self.begun and self._clock.steady() < self.linger_until
+    def deregistering(self):
+        """Return whether the load balancer may still send requests."""
+        return self.begun and self._clock.steady() < self.deregistered_at
 
     @property
     def finished(self):
-        """Return whether all that was to be served has been served."""
-        if not self.begun or self.lingering:
+        """Return whether all accepted requests are finished."""
+        if not self.begun or self.deregistering:
             return False
-        return not self._held and not self._late
+        return not self._jobs and not self._late_jobs
 
     @property
-    def unmade(self):
-        """Return by budget what the jobs in hand may still make.
+    def remaining_tokens(self):
+        """Return the tokens that jobs in flight may still generate, by budget.
 
-        Without it none of them could go on elsewhere when its upstream falls
-        silent: tokens for a second run are then at other routers.
+        These tokens are not handed off: without them, a job could not be sent
+        to another upstream if its own stalls.
         """
         tokens = collections.Counter()
-        for job in self._held:
+        for job in self._jobs:
             if job.budget is not None:
                 tokens[job.budget] += job.remaining_tokens
         return tokens
 
     def begin(self, grace):
-        """Begin the stop.
+        """Begin the shutdown.
 
         :param grace: seconds until the process is killed
         """
         now = self._clock.steady()
         left = grace - min(RESERVE, RESERVE_SHARE * grace)
-        self.cut_at = now + left
-        self.linger_until = now + min(LINGER, LINGER_SHARE * left)
+        self.cutoff_at = now + left
+        self.deregistered_at = now + min(
+            DEREGISTRATION_SECONDS, DEREGISTRATION_SHARE * left
+        )
 
     def close(self):
-        """Take nothing any more."""
+        """Refuse all requests from now on."""
         self.closed = True
 
     # Requests
 
-    def take(self, job):
-        """Take a job in hand.
+    def accept(self, job):
+        """Accept a job.
 
-        :raises RequestError: it has to be served elsewhere
+        :raises RequestError: another router has to serve it
         """
         if self.begun:
             self._check(job)
-        late = self.begun and not self.lingering
-        (self._late if late else self._held).add(job)
+        late = self.begun and not self.deregistering
+        (self._late_jobs if late else self._jobs).add(job)
 
-    def leave(self, job):
-        """Note that a job is in hand no more."""
-        self._held.discard(job)
-        self._late.discard(job)
+    def release(self, job):
+        """Remove a job that has ended."""
+        self._jobs.discard(job)
+        self._late_jobs.discard(job)
 
-    def note_whole(self, job):
-        """Note that a job's answer went out whole."""
+    def record_complete(self, job):
+        """Record that the answer of a job was sent completely."""
         seconds = self._clock.steady() - job.arrived
         self._durations.record(job.service, seconds)
 
-    def end_of(self, job):
-        """Return the steady time at which a job is over at the latest."""
-        return min(job.deadline, self.cut_at) if self.begun else job.deadline
+    def end_time(self, job):
+        """Return the monotonic time at which a job is ended."""
+        return (
+            min(job.deadline, self.cutoff_at) if self.begun else job.deadline
+        )
 
     def may_send(self, job):
-        """Return whether a send would likely end before the cut."""
-        return not self.begun or self._may_end(job)
+        """Return whether a send is expected to end before the cut-off."""
+        return not self.begun or self._is_expected_to_end(job)
 
     def check_send(self, job):
-        """Raise RequestError if a send would hardly end before the cut."""
+        """Raise RequestError unless may_send() allows a send."""
         if not self.may_send(job):
-            raise self._error(job, "too late for a send")
+            raise self._error(job, "too little time left for a send")
 
-    def error_at_cut(self, job):
-        """Return the RequestError of a job that the cut ends, or None."""
-        if not self.begun or job.deadline <= self.cut_at:
+    def cutoff_error(self, job):
+        """Return the RequestError of a job ended by the cut-off, or None."""
+        if not self.begun or job.deadline <= self.cutoff_at:
             return None
-        return self._error(job, "given up at the end of the grace period")
+        return self._error(job, "unfinished at the end of the grace period")
 
     # Decisions
 
     def _check(self, job):
         if self.closed:
-            raise self._refusal("the stop is over")
-        if self.lingering:
-            if not self._may_end(job):
-                raise self._refusal("no time is left for it")
+            raise self._refusal("shutdown is complete")
+        if self.deregistering:
+            if not self._is_expected_to_end(job):
+                raise self._refusal("too little time left before the cut-off")
             return
-        # It prolongs the stop by no more than its own time, and only while
-        # others do: a router that is sent such requests all along must end.
-        if not self._held or not self._surely_ends(job):
-            raise self._refusal("the linger is over")
+        # Such a job is accepted only while earlier ones are in flight, and if
+        # it ends before the cut-off: a steady flow of requests must not
+        # prolong the shutdown.
+        if not self._jobs or not self._ends_in_time(job):
+            raise self._refusal("router is shutting down")
 
-    def _surely_ends(self, job):
-        return job.deadline <= self.cut_at - MARGIN
+    def _ends_in_time(self, job):
+        return job.deadline <= self.cutoff_at - DEADLINE_MARGIN
 
-    def _may_end(self, job):
-        if self._surely_ends(job):
+    def _is_expected_to_end(self, job):
+        if self._ends_in_time(job):
             return True
-        usual = self._durations.usual(job.service)
-        return self._clock.steady() + usual < self.cut_at
+        average = self._durations.average(job.service)
+        return self._clock.steady() + average < self.cutoff_at
 
     def _error(self, job, why):
-        """Return the RequestError of a job that was taken, but not served."""
+        """Return the RequestError of an accepted job that is not served."""
         if not job.runs:
             return self._refusal(why)
         self.cut += 1
@@ -197,5 +206,5 @@
         self.refused += 1
         come_back_at = None
         if not self._members.ready_peers():
-            come_back_at = self._clock.steady() + RETURN
+            come_back_at = self._clock.steady() + RESTART_SECONDS
         return RequestError(ErrorKind.STOPPING, why, come_back_at=come_back_at)
--- a/test/test_headers.py
+++ b/test/test_headers.py
@@ -248,7 +248,7 @@
     run = types.SimpleNamespace(name="one")
     upstream = types.SimpleNamespace(id="one", address="127.0.0.1:1", run=run)
     clock = types.SimpleNamespace(steady=lambda: 0.0)
-    limits = types.SimpleNamespace(note_answer=lambda run, text: None)
+    limits = types.SimpleNamespace(record_answer=lambda run, text: None)
     exchange = Exchange(client, DIALECT, clock, limits)
     return asyncio.run(exchange.send(job, upstream, None))
 
--- a/test/test_stopping.py
+++ b/test/test_stopping.py
@@ -27,7 +27,7 @@
 from rowanport.errors import RequestError
 from rowanport.errors import UpstreamError
 from rowanport.gateway import stopping as stops
-from rowanport.gateway.stopping import Stopping
+from rowanport.gateway.stopping import GracefulStop
 from rowanport.gateway.views import DISCOVERY_SECONDS
 from rowanport.metrics import Metrics
 from rowanport.router.callers import CallerServer
@@ -226,7 +226,7 @@
 
 
 class Asked:
-    """What a Stopping sees of a job."""
+    """What a GracefulStop sees of a job."""
 
     def __init__(self, clock, seconds, service="feed"):
         self.arrived = clock.steady()
@@ -236,17 +236,17 @@
 
 
 class Stop:
-    """A Stopping on a clock that is moved by hand."""
+    """A GracefulStop on a clock that is moved by hand."""
 
     def __init__(self):
         self.clock = ManualClock()
         self.others = Others()
-        self.state = Stopping(self.others, self.clock)
+        self.state = GracefulStop(self.others, self.clock)
 
     def take(self, seconds, service="feed"):
         """Take a job that has some seconds; return it."""
         job = Asked(self.clock, seconds, service)
-        self.state.take(job)
+        self.state.accept(job)
         return job
 
     def refusal(self, seconds, service="feed"):
@@ -261,15 +261,15 @@
     held = stop.take(12.0)
     stop.state.begin(GRACE)
     lingering = stop.take(12.0)
-    stop.clock.now += stops.LINGER + 0.1
+    stop.clock.now += stops.DEREGISTRATION_SECONDS + 0.1
     assert stop.refusal(12.0).come_back_at is None
     late = stop.take(1.0)
-    stop.state.leave(held)
-    stop.state.leave(lingering)
+    stop.state.release(held)
+    stop.state.release(lingering)
     # A stream that it waited for is over: such requests prolong it no more.
     stop.refusal(1.0)
     assert not stop.state.finished
-    stop.state.leave(late)
+    stop.state.release(late)
     assert stop.state.finished
     assert stop.state.refused == 2
 
@@ -278,7 +278,7 @@
     stop = Stop()
     stop.state.begin(GRACE)
     assert not stop.state.finished
-    stop.clock.now += stops.LINGER + 0.1
+    stop.clock.now += stops.DEREGISTRATION_SECONDS + 0.1
     assert stop.state.finished
 
 
@@ -286,7 +286,7 @@
     stop = Stop()
     stop.take(12.0)
     stop.state.begin(GRACE)
-    stop.clock.now = stop.state.cut_at - 1.0
+    stop.clock.now = stop.state.cutoff_at - 1.0
     stop.refusal(1.0)
     stop.take(0.5)
 
@@ -295,7 +295,7 @@
     stop = Stop()
     slow = stop.take(12.0, "slow")
     stop.clock.now += 6.0
-    stop.state.note_whole(slow)
+    stop.state.record_complete(slow)
     stop.state.begin(GRACE)
     stop.take(12.0, "slow")
     stop.clock.now += 2.0
@@ -308,11 +308,11 @@
     stop = Stop()
     usual = stop.take(12.0)
     stop.clock.now += 1.0
-    stop.state.note_whole(usual)
+    stop.state.record_complete(usual)
     stop.state.begin(GRACE)
     job = stop.take(12.0)
     stop.state.check_send(job)
-    stop.clock.now = stop.state.cut_at - 0.5
+    stop.clock.now = stop.state.cutoff_at - 0.5
     with pytest.raises(RequestError) as waited:
         stop.state.check_send(job)
     assert waited.value.kind is ErrorKind.STOPPING
@@ -325,19 +325,19 @@
 def test_callers_come_back_soon_if_others_are_ready_else_when_one_is():
     stop = Stop()
     stop.state.begin(GRACE)
-    stop.clock.now += stops.LINGER + 0.1
+    stop.clock.now += stops.DEREGISTRATION_SECONDS + 0.1
     assert stop.refusal(12.0).come_back_at is None
     stop.others.ready = []
     back = stop.refusal(12.0).come_back_at
-    assert back == stop.clock.now + stops.RETURN
+    assert back == stop.clock.now + stops.RESTART_SECONDS
 
 
 def test_a_short_grace_leaves_time_for_what_is_taken_last():
     stop = Stop()
     stop.state.begin(3.0)
-    assert stop.state.linger_until < stop.state.cut_at - 1.0
+    assert stop.state.deregistered_at < stop.state.cutoff_at - 1.0
     stop.take(12.0)
-    stop.clock.now = stop.state.linger_until
+    stop.clock.now = stop.state.deregistered_at
     stop.refusal(12.0)
 
 
@@ -348,8 +348,8 @@
     stop = Stop()
     begun_at = stop.clock.steady()
     stop.state.begin(grace)
-    assert stop.state.cut_at >= begun_at + grace * 5 / 6
-    assert stop.state.cut_at < begun_at + grace
+    assert stop.state.cutoff_at >= begun_at + grace * 5 / 6
+    assert stop.state.cutoff_at < begun_at + grace
 
 
 # Kept connections
