--- a/rowanport/gateway/__init__.py
+++ b/rowanport/gateway/__init__.py
@@ -1,4 +1,4 @@
-"""Serves any HTTP request by routes, keys and prepaid budgets."""
+"""HTTP gateway with routes, API keys and prepaid token budgets."""
 
 from .daemon import Gateway
 from .dialect import Dialect
--- a/rowanport/gateway/daemon.py
+++ b/rowanport/gateway/daemon.py
@@ -31,7 +31,7 @@
 from .exchange import Exchange
 from .fingerprint import Fingerprints
 from .forwarder import Forwarder
-from .health import HealthFront
+from .health import HealthServer
 from .job import Admission
 from .load_sync import LoadSync
 from .metrics import GatewayMetrics
@@ -211,7 +211,7 @@
         self._server = HttpServer(
             self.forwarder.handle, self._refuse, self._limits
         )
-        self._health = HealthFront(self)
+        self._health = HealthServer(self)
 
     # Views
 
--- a/rowanport/gateway/dialect.py
+++ b/rowanport/gateway/dialect.py
@@ -1,25 +1,25 @@
-"""Names of the headers that callers and upstreams speak."""
+"""Names of the headers that callers and upstreams use."""
 
 
 class Dialect:
     """Header names, in lower case.
 
-    :ivar request_id: the request's id, repeated by each answer
-    :ivar timeout_ms: milliseconds that the sender will wait
+    :ivar request_id: the request's id, repeated in each answer
+    :ivar timeout_ms: milliseconds that the sender waits for the answer
     :ivar key: the caller's API key
-    :ivar organisation: the organisation that a request runs for
-    :ivar expected_instance: id of the only upstream that may run it
-    :ivar not_executed: an upstream's word that it did not run the request
-    :ivar signature: an upstream's proof that the answer is its own
-    :ivar rate_limit: requests a second that an upstream takes from all routers
-        together, for as long as its answers name it
-    :ivar tokens: tokens of the prompt and most tokens of the answer
-    :ivar prefix: parts of the prompt as ID:TOKENS
-    :ivar priority: rank for the upstream, 0 the first
-    :ivar last_event: id of the last event of a stream that has arrived
-    :ivar orders: further headers by which a router steers an upstream
-    :ivar facts: further headers of answers that are for routers only
-    :ivar hints: further headers of callers by which an upstream decides
+    :ivar organisation: the organisation on whose behalf a request runs
+    :ivar expected_instance: id of the only upstream that may run the request
+    :ivar not_executed: set by an upstream that did not run the request
+    :ivar signature: set by an upstream to sign the answer as its own
+    :ivar rate_limit: requests a second that an upstream accepts from all
+        routers together, in effect as long as its answers name it
+    :ivar tokens: tokens of the prompt and maximum tokens of the answer
+    :ivar prefix: parts of the prompt as ID:TOKENS, separated by commas
+    :ivar priority: the request's priority at the upstream, 0 the highest
+    :ivar last_event: id of the last event received from a resumed stream
+    :ivar orders: other headers by which a router controls an upstream
+    :ivar facts: other headers of answers that only routers may see
+    :ivar hints: other headers of callers that affect an upstream's decisions
     """
 
     __slots__ = (
@@ -45,10 +45,10 @@
             setattr(self, slot, names[slot])
 
     @property
-    def routers_own(self):
-        """Return the headers that no upstream gets as a caller sent them.
+    def router_request_headers(self):
+        """Return the headers of requests that only a router may set.
 
-        A router sets them itself or not at all.
+        They are removed from callers' requests.
         """
         return (
             self.key,
@@ -61,13 +61,16 @@
         )
 
     @property
-    def answers_own(self):
-        """Return the headers of answers that no caller gets."""
+    def router_answer_headers(self):
+        """Return the headers of answers that only routers may see.
+
+        They are removed from the answers to callers.
+        """
         return (self.not_executed, *self.facts)
 
     @property
     def end_to_end(self):
-        """Return the headers that are never those of one connection."""
+        """Return the headers that are never treated as hop-by-hop."""
         return (
             "host",
             self.request_id,
--- a/rowanport/gateway/health.py
+++ b/rowanport/gateway/health.py
@@ -1,11 +1,11 @@
-"""The operators' side of a gateway: readiness and metrics."""
+"""The HTTP interface for operators: readiness and metrics."""
 
 from .. import logs
 from ..web import HttpServer
 from .settings import split_address
 
 
-class HealthFront:
+class HealthServer:
     """Serves ``/readyz`` and ``/metrics``.
 
     :param gateway: the Gateway
@@ -16,11 +16,14 @@
         self._server = HttpServer(self._handle)
 
     async def start(self, address):
-        """Listen on an address."""
+        """Listen on an address.
+
+        :param address: IP and port as text
+        """
         await self._server.start(*split_address(address))
 
     async def close(self):
-        """Stop at once."""
+        """Close all connections at once."""
         await self._server.close()
 
     async def _handle(self, request, responder):
--- a/rowanport/gateway/metrics.py
+++ b/rowanport/gateway/metrics.py
@@ -4,7 +4,7 @@
 
 
 class GatewayMetrics(MetricSet):
-    """Counters and histograms, each with its own help and unit."""
+    """The counters, gauges and histograms of a gateway, with their help."""
 
     def __init__(self):
         super().__init__()
--- a/rowanport/gateway/settings.py
+++ b/rowanport/gateway/settings.py
@@ -1,24 +1,24 @@
-"""What a gateway must be told."""
+"""Settings of a gateway."""
 
 
 class GatewaySettings:
-    """Who a gateway is, where it listens, and what binds it.
+    """Identity, addresses and limits of a gateway.
 
-    Addresses are texts of IP number and port, times are seconds.
+    Addresses are strings of IP and port, times are in seconds.
 
     :ivar name: the instance's name, for logs
-    :ivar data_centre: where it stands
-    :ivar region: routers of one region share configuration and tokens
-    :ivar callers: address for callers
-    :ivar health: address for readiness and metrics
-    :ivar peers: address for other routers
-    :ivar seeds: addresses of other routers, which may be old
-    :ivar secret: what all routers share
-    :ivar stop_grace: time from the signal to stop until the process is
-        killed
-    :ivar retry_ratio: repeated sends for each request that the fleet may
-        make within a window
-    :ivar retry_slack: repeated sends beyond that, for the whole fleet
+    :ivar data_centre: name of its data centre
+    :ivar region: name of its region, whose routers share configuration and
+        tokens
+    :ivar callers: address on which it listens for callers
+    :ivar health: address on which it serves readiness and metrics
+    :ivar peers: address on which it listens for other routers
+    :ivar seeds: addresses of other routers, which may be outdated
+    :ivar secret: secret that all routers share
+    :ivar stop_grace: time from the stop signal until the process is killed
+    :ivar retry_ratio: retries per request that the fleet may make within a
+        window
+    :ivar retry_slack: additional retries of the whole fleet within a window
     :ivar retry_window: length of that window
     """
 
@@ -43,6 +43,6 @@
 
 
 def split_address(text):
-    """Return host and port of an address."""
+    """Return (host, port) of an address."""
     host, _, port = text.rpartition(":")
     return host, int(port)
