--- a/test/test_platform.py
+++ b/test/test_platform.py
@@ -334,7 +334,7 @@
     await platform.wait(lambda: "org" in platform.gateway.budgets.accounts)
     account = platform.gateway.budgets.accounts["org"]
     await platform.wait(lambda: account.available > 5000)
-    account.take_out(5000)
+    account.debit(5000)
     answer = await platform.stream("/stream/", tokens="90000,9000")
     assert answer.status == 429
     assert 0.5 < float(answer.headers["retry-after"]) < 5.0
