--- a/rowanport/membership/__init__.py
+++ b/rowanport/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Which routers live, and which of them is home to what."""
+"""Which routers are alive, and which of them is home to which shard."""
 
 from .gossip import MembershipLoop
 from .members import Membership
--- a/rowanport/membership/gossip.py
+++ b/rowanport/membership/gossip.py
@@ -1,4 +1,4 @@
-"""Sends heartbeats, reads the instance list."""
+"""Background tasks of the membership: gossip and the instance list."""
 
 import asyncio
 import itertools
@@ -15,21 +15,25 @@
 LOG = structlog.get_logger(__name__)
 
 GOSSIP_TIMEOUT = 0.5
-# Seconds between the first reads of the list: routers that start together
-# find few entries in it at once, all of them some seconds later.
+# Seconds between the first reads of the list: routers that start together find
+# few entries in the first read, and all of them some seconds later.
 FIRST_LIST_PAUSES = (1.0, 1.0, 2.0)
-# Rounds after the start that follow each other faster, and by how much: a
-# router that just started is to know the fleet before it acts for it.
-FIRST_ROUNDS = 20
-FIRST_SPEED = 5
+# Number of gossip rounds after the start that follow each other faster, and by
+# which factor: a router should know the fleet before it acts for it.
+FAST_ROUNDS = 20
+FAST_FACTOR = 5
 
 
 class MembershipLoop:
-    """The asyncio shell of a Membership.
+    """Runs the network calls of a Membership.
 
-    :param on_list: function that is given each reading of the list
-    :param on_gone: function that is given the address of a router whose
-        process has ended
+    :param members: the Membership
+    :param peers: a PeerClient
+    :param directory: the InstanceDirectory
+    :param settings: MembershipSettings
+    :param on_list: function called with the instances of each read list
+    :param on_gone: function called with the peer address of a router whose
+        process has ended, or None
     """
 
     def __init__(
@@ -43,20 +47,21 @@
         self._on_gone = on_gone
 
     async def run(self):
-        """Gossip and read the list until cancelled."""
+        """Send heartbeats and read the instance list until cancelled."""
         await asyncio.gather(self.run_heartbeats(), self.run_list())
 
     async def run_heartbeats(self):
         """Send heartbeats until cancelled."""
         for number in itertools.count():
             beat()
-            calls = [self._tell(*pair) for pair in self._members.tick()]
+            calls = [self._send(*pair) for pair in self._members.tick()]
             sending = asyncio.gather(*calls)
-            speed = FIRST_SPEED if number < FIRST_ROUNDS else 1
-            await asyncio.sleep(self._settings.interval / speed)
+            factor = FAST_FACTOR if number < FAST_ROUNDS else 1
+            await asyncio.sleep(self._settings.interval / factor)
             await sending
 
-    async def _tell(self, address, message):
+    async def _send(self, address, message):
+        """Send a Gossip to a peer and merge the one that it returns."""
         try:
             answer = await self._peers.call(
                 address, message, GOSSIP_TIMEOUT, repeatable=True
@@ -68,10 +73,10 @@
         except PeerError:
             return
         if isinstance(answer, Gossip):
-            self._members.take(answer)
+            self._members.merge(answer)
 
     async def run_list(self):
-        """Read the list of instances until cancelled."""
+        """Read the instance list until cancelled."""
         for pause in FIRST_LIST_PAUSES:
             await self._read_list()
             await asyncio.sleep(pause)
@@ -80,7 +85,7 @@
             await asyncio.sleep(self._settings.list_interval)
 
     async def _read_list(self):
-        """Greet the routers in the list that are not known yet."""
+        """Read the instance list; announce this router to unknown ones."""
         beat()
         try:
             instances = await self._directory.instances()
@@ -97,5 +102,5 @@
             self._on_list(instances)
             announcements = self._members.announcements()
             await asyncio.gather(
-                *(self._tell(*pair) for pair in announcements)
+                *(self._send(*pair) for pair in announcements)
             )
--- a/rowanport/router/daemon.py
+++ b/rowanport/router/daemon.py
@@ -259,7 +259,7 @@
         LOG.info("upstream_leaving", upstream=address)
         until = self.clock.wall() + LEAVING_NOTE_SECONDS
         note = messages.LeavingNote(address, until)
-        for peer in self.members.some(LEAVING_FANOUT):
+        for peer in self.members.sample_peers(LEAVING_FANOUT):
             self._tasks.spawn(self._tell(address_of(peer), note))
 
     async def _tell(self, address, message):
--- a/test/test_loop_heartbeats.py
+++ b/test/test_loop_heartbeats.py
@@ -143,7 +143,7 @@
     owner, method = {
         "ConfigSource": (config, "_follow"),
         "UpstreamSource": (upstreams, "_follow"),
-        "heartbeats": (gateway._membership, "_tell"),
+        "heartbeats": (gateway._membership, "_send"),
         "router_list": (gateway._membership, "_read_list"),
         "budgets": (gateway.budgets._refill, "sync"),
         "blocklist": (gateway._blocklist, "_look"),
--- a/test/test_membership.py
+++ b/test/test_membership.py
@@ -80,7 +80,9 @@
         one, peers, None, cell.settings, None, one.suspect_address
     )
     asyncio.run(
-        loop._tell(address_of(other.own_entry.incarnation), one._message())
+        loop._send(
+            address_of(other.own_entry.incarnation), one._make_message()
+        )
     )
     assert one.is_alive(other.own_entry.incarnation) is not gone
 
