--- a/rowanport/gateway/forwarder.py
+++ b/rowanport/gateway/forwarder.py
@@ -5,9 +5,9 @@
 from ..errors import ErrorKind
 from ..errors import RequestError
 from .decisions import DecisionLog
-from .refusals import late_error
-from .repeats import Repeats
-from .sending import Sending
+from .refusals import timeout_error
+from .retry_policy import RetryPolicy
+from .sender import JobSender
 
 
 class Forwarder:
@@ -20,7 +20,7 @@
         self._gateway = gateway
         self._clock = gateway.clock
         self._log = DecisionLog(gateway.metrics, gateway.clock)
-        self._repeats = Repeats(gateway)
+        self._repeats = RetryPolicy(gateway)
         self._refusals = gateway.refusals
         self._stopping = gateway.stopping
         self._crashes = gateway.crashes
@@ -56,7 +56,7 @@
             return gateway.admission.admit(request, gateway.table, arrived)
         except RequestError:
             # A configuration that is not known here may allow it.
-            gateway.views.standing.check()
+            gateway.views.freshness.check()
             raise
 
     def _error_at_end(self, job):
@@ -65,7 +65,7 @@
             self._crashes.check(job)
         except RequestError as error:
             return error
-        return self._stopping.error_at_cut(job) or late_error(job)
+        return self._stopping.error_at_cut(job) or timeout_error(job)
 
     def end(self, job):
         """End a job under way, whose request is refused from now on."""
@@ -100,9 +100,9 @@
         now = self._clock.steady()
         # What is blocked stays so, whatever else is known meanwhile.
         self._crashes.check(job)
-        gateway.views.standing.check()
-        gateway.retries(job.service).note_request(now)
-        if gateway.congestion.refuses(job.request):
+        gateway.views.freshness.check()
+        gateway.retries(job.service).record_request(now)
+        if gateway.congestion.should_refuse(job.request):
             raise RequestError(
                 ErrorKind.OVERLOADED, "the router's own link is congested"
             )
@@ -118,10 +118,10 @@
 
     async def _send(self, job, responder):
         """Send a job to upstreams until it is answered."""
-        sending = Sending(
+        sender = JobSender(
             self._gateway, self._log, self._repeats, job, responder
         )
-        await sending.run()
+        await sender.run()
 
     async def _send_error(self, job, request, responder, error, arrived):
         self._note_end(job, error.kind.value, arrived, error.detail)
--- a/rowanport/gateway/job.py
+++ b/rowanport/gateway/job.py
@@ -70,7 +70,7 @@
         "tokens",
         "affinity",
         "prefix",
-        "shared",
+        "shared_tokens",
         "arrived",
         "deadline",
         "caller_deadline",
@@ -87,7 +87,7 @@
         "first_event_at",
         "last_event_at",
         "longest_pause",
-        "whole",
+        "complete",
         "config",
         "view_age",
     )
@@ -103,7 +103,7 @@
         self.tokens = None
         self.affinity = ""
         self.prefix = 0
-        self.shared = 0
+        self.shared_tokens = 0
         self.deadline = arrived + route.timeout
         self.caller_deadline = self.deadline
         self.tried = set()
@@ -119,7 +119,7 @@
         self.first_event_at = None
         self.last_event_at = None
         self.longest_pause = 0.0
-        self.whole = False
+        self.complete = False
         self.config = 0
         self.view_age = None
 
@@ -145,12 +145,12 @@
             return 0
         if self.runs > 1:
             return self.reserved
-        if not self.whole:
+        if not self.complete:
             return self.tokens.worst
-        return self.tokens.worst - self.unmade
+        return self.tokens.worst - self.remaining_tokens
 
     @property
-    def unmade(self):
+    def remaining_tokens(self):
         """Return the tokens that a run may make beyond what was passed on."""
         if self.tokens is None:
             return 0
@@ -168,7 +168,7 @@
         made = (self.events - 1) * self.tokens.per_event + 1
         return self.tokens.prompt + min(self.tokens.most, made)
 
-    def note_events(self, events, now):
+    def record_events(self, events, now):
         """Count some Events that are about to be passed on."""
         if self.first_event_at is None:
             self.first_event_at = now
@@ -208,14 +208,14 @@
         job.config = table.version
         self._identify(job, table)
         organisation = job.organisation.name if job.organisation else ""
-        job.fingerprint = self._fingerprints.of(request, organisation)
+        job.fingerprint = self._fingerprints.compute(request, organisation)
         self._read_deadline(job, now)
         self._read_tokens(job, table)
         self._read_affinity(job)
         return job
 
     def _identify(self, job, table):
-        if job.route.public or not table.keyed:
+        if job.route.public or not table.requires_keys:
             return
         key = job.request.header(self._dialect.key)
         job.organisation = table.find_organisation(key)
@@ -249,7 +249,9 @@
         shared = parts[:-1] or parts
         job.affinity = ",".join(name for name, _, _ in shared)
         job.prefix = hash_of(job.affinity)
-        job.shared = sum(_read_number(tokens) for _, _, tokens in shared)
+        job.shared_tokens = sum(
+            _read_number(tokens) for _, _, tokens in shared
+        )
 
 
 def _read_number(text):
--- a/rowanport/gateway/limits.py
+++ b/rowanport/gateway/rate_limits.py
@@ -9,11 +9,11 @@
 from ..hashing import rendezvous
 from ..incarnation import address_of
 from ..membership.members import LEAVING
-from ..ratelimits import chunk
-from ..ratelimits import NamedLimits
-from ..ratelimits import PermitBook
-from ..ratelimits import Purse
-from ..ratelimits import read_limit
+from ..ratelimits import HeldPermits
+from ..ratelimits import parse_limit
+from ..ratelimits import permit_batch_size
+from ..ratelimits import PermitGranter
+from ..ratelimits import UpstreamLimits
 from ..schema.messages import LimitNews
 from ..schema.messages import PermitAsk
 from ..schema.messages import Permits
@@ -49,16 +49,16 @@
         self._address = address
         self._clock = clock
         self._metrics = metrics
-        self._named = NamedLimits()
-        self._book = PermitBook()
-        self._own_share = PermitBook()
-        self._purse = Purse()
+        self._named = UpstreamLimits()
+        self._book = PermitGranter()
+        self._own_share = PermitGranter()
+        self._purse = HeldPermits()
         self._away_until = {}
         self._unreadable = {}
 
     # What upstreams say
 
-    def note_answer(self, run, text):
+    def record_answer(self, run, text):
         """Take in what an upstream's answer says of its limit.
 
         :param run: the UpstreamRun
@@ -67,11 +67,11 @@
         rate = None
         if text is not None:
             try:
-                rate = read_limit(text)
+                rate = parse_limit(text)
             except MessageError as error:
                 return self._note_unreadable(run, text, error)
         now = self._clock.steady()
-        if self._named.note(run.name, rate, now, now):
+        if self._named.update(run.name, rate, now, now):
             self._note_change(run.name, rate, None)
             row = self._named.row(run.name, now)
             news = LimitNews([row], self._address)
@@ -93,13 +93,13 @@
         )
         self._metrics.limited_upstreams.set({}, self._named.count)
 
-    def keep(self, names):
+    def retain(self, names):
         """Forget all upstreams but some.
 
         :param names: names of upstreams' runs
         """
         for part in (self._named, self._book, self._own_share, self._purse):
-            part.keep(names)
+            part.retain(names)
         self._unreadable = {
             name: text
             for name, text in self._unreadable.items()
@@ -108,7 +108,7 @@
 
     # Where requests may go
 
-    def open(self, candidates, now):
+    def with_permits(self, candidates, now):
         """Return the UpstreamStates among some that may have a permit left.
 
         :raises RequestError: none has, with the time of the next permit
@@ -137,9 +137,9 @@
     def _open_at(self, state, now):
         if self._rate(state) is None:
             return now
-        return self._purse.open_at(state.record.run.name, now)
+        return self._purse.available_at(state.record.run.name, now)
 
-    async def take(self, state):
+    async def acquire(self, state):
         """Take a permit to send to an upstream, if it takes one now.
 
         :returns: whether the request may be sent
@@ -148,10 +148,10 @@
         if rate is None:
             return True
         name = state.record.run.name
-        if self._purse.take(name, self._clock.steady()):
+        if self._purse.acquire(name, self._clock.steady()):
             return True
         await self._ask(name, rate)
-        taken = self._purse.take(name, self._clock.steady())
+        taken = self._purse.acquire(name, self._clock.steady())
         outcome = "granted" if taken else "denied"
         self._metrics.permits.inc({"outcome": outcome})
         return taken
@@ -162,7 +162,7 @@
         """Ask for permits; what comes of it is in the purse."""
         now = self._clock.steady()
         routers = self._routers(now)
-        wanted = chunk(rate, len(routers))
+        wanted = permit_batch_size(rate, len(routers))
         granter = rendezvous(name, routers)[0]
         if granter == self._address:
             grant = self._book.grant(name, rate, wanted, now)
@@ -213,13 +213,13 @@
 
     def rows(self):
         """Return LimitRows for a peer."""
-        return self._named.some_rows(self._clock.steady())
+        return self._named.next_rows(self._clock.steady())
 
-    def hear_news(self, news):
+    def receive(self, news):
         """Take in LimitNews."""
-        self.hear(news.rows, news.sender)
+        self.merge(news.rows, news.sender)
 
-    def hear(self, rows, peer):
+    def merge(self, rows, peer):
         """Take in LimitRows of a peer."""
         now = self._clock.steady()
         for row in rows:
--- a/rowanport/platform/sources.py
+++ b/rowanport/platform/sources.py
@@ -11,8 +11,8 @@
 from ..errors import StoreBusy
 from ..errors import StoreError
 from ..errors import StoreSilent
+from ..gateway.expired_entries import EXPIRY_GRACE
 from ..gateway.freshness import WatchAge
-from ..gateway.lapses import LAPSE_GRACE
 from ..gateway.upstream import UpstreamList
 from ..supervision import beat
 from .entries import decode_entry
@@ -85,7 +85,9 @@
 
     async def run(self, views):
         """Feed the Views until cancelled."""
-        views.standing.note_watch(self.prefix, self._age, self._store.reach)
+        views.freshness.register_watch(
+            self.prefix, self._age, self._store.reach
+        )
         while True:
             beat()
             try:
@@ -106,7 +108,7 @@
 
     async def _wait_for_duty(self, views):
         """Wait until this router is one of those that follow the store."""
-        while not views.on_duty:
+        while not views.watches_store:
             # What happens meanwhile comes from peers, also what is newer than
             # an old answer, which costs a tenth of a new one.
             self._revision = None
@@ -115,13 +117,13 @@
             if not self.is_known(views):
                 await self.load_old(views)
                 self._note_success()
-            await asyncio.sleep(YOUNG_POLL if views.young else DUTY_POLL)
+            await asyncio.sleep(YOUNG_POLL if views.starting_up else DUTY_POLL)
 
     async def _follow(self, views):
         if self._revision is None:
             sent_at = self._clock.steady()
             self._revision = await self.load(views)
-            self._age.note_read(sent_at)
+            self._age.record_read(sent_at)
             self._note_success()
         listing = await self._watch(views)
         self._note_success()
@@ -134,9 +136,9 @@
         """Wait while changes gather that one call tells all of."""
         until = self._clock.steady() + YOUNG_PAUSE
         await asyncio.sleep(BATCH_PAUSE)
-        while views.young and self._clock.steady() < until:
-            standing = views.standing
-            if standing.aging and standing.age > YOUNG_AGE:
+        while views.starting_up and self._clock.steady() < until:
+            freshness = views.freshness
+            if freshness.aging and freshness.age > YOUNG_AGE:
                 break
             await asyncio.sleep(BATCH_PAUSE)
 
@@ -160,13 +162,13 @@
             )
             if watch.done():
                 listing = watch.result()
-                self._age.end(views.standing.contact_at)
+                self._age.complete(views.freshness.contact_at)
                 return listing
             if down.done():
                 raise StoreBusy("the store is away")
             raise StoreSilent("kept connections turned out silent")
         finally:
-            self._age.lose(views.standing.contact_at)
+            self._age.abort(views.freshness.contact_at)
             watch.cancel()
             down.cancel()
             silence.cancel()
@@ -207,7 +209,7 @@
     def change(self, views, listing):
         for item in listing.items:
             if item.key == CONFIG_KEY and item.data is not None:
-                views.take_config(item.data, "store")
+                views.apply_config(item.data, "store")
 
 
 class UpstreamSource(_Source):
@@ -311,7 +313,7 @@
         step = 0
         if revision <= known.revision:
             revision, step = known.revision, known.step + 1
-        views.take_upstreams(
+        views.apply_upstreams(
             UpstreamList(revision, upstreams.values(), step), "store"
         )
 
@@ -321,13 +323,13 @@
         # an outage of this router alone, would keep a removed upstream in use
         # beyond what its bound allows.
         reach = self._store.reach
-        if not views.standing.may_have_lapsed:
+        if not views.freshness.may_have_expired:
             return self._mass_grace_until
         if reach.in_doubt:
             return math.inf
         if reach.back_at is None:
             return self._mass_grace_until
-        return max(self._mass_grace_until, reach.back_at + LAPSE_GRACE)
+        return max(self._mass_grace_until, reach.back_at + EXPIRY_GRACE)
 
     def _miss(self, views, gone):
         """Keep entries for a while that may have lapsed in an outage.
@@ -339,7 +341,7 @@
         # A router that began to follow the store just now did not see it
         # away; but that most upstreams leave at once is no plan of anybody's.
         if len(gone) > LAPSE_SHARE * len(known):
-            until = self._clock.steady() + LAPSE_GRACE
+            until = self._clock.steady() + EXPIRY_GRACE
             self._mass_grace_until = until
         if self._clock.steady() < self._grace_until(views):
             for name, upstream in gone.items():
@@ -353,7 +355,7 @@
         as of what was removed.
         """
         while True:
-            if views.on_duty:
+            if views.watches_store:
                 await self._store.reach.probe_when_idle()
             else:
                 await asyncio.sleep(DUTY_POLL)
@@ -363,9 +365,9 @@
         reach = self._store.reach
         while True:
             await asyncio.sleep(CONFIRM_PAUSE)
-            if views.on_duty and views.standing.aging:
+            if views.watches_store and views.freshness.aging:
                 await reach.confirm()
-                views.standing.note_contact(reach.heard_at)
+                views.freshness.record_contact(reach.heard_at)
 
     async def _run_settling(self, views):
         """Drop what stays missing, and take in what nobody objected to."""
--- a/test/prepaid_world.py
+++ b/test/prepaid_world.py
@@ -22,7 +22,7 @@
 from rowanport.prepaid import BudgetKeeper
 from rowanport.prepaid import BudgetRecord
 from rowanport.prepaid import FleetClocks
-from rowanport.prepaid.drawer import BUDGET_PREFIX
+from rowanport.prepaid.batches import BUDGET_PREFIX
 from rowanport.store import TransactionStore
 from rowanport.store import Value
 
@@ -216,7 +216,7 @@
         while True:
             for other in world.routers.values():
                 if other is not self:
-                    self.clocks.hear(other.address, other.clock.wall())
+                    self.clocks.observe(other.address, other.clock.wall())
             await asyncio.sleep(0.25)
 
     def spawn(self, world, coroutine):
@@ -310,8 +310,8 @@
         """Return the Value of a key as it was some time ago."""
         value = self.read(key)
         born = self.born.get(key, 0.0)
-        young = self.loop.now < born + self.old_answers
-        return Value(b"", 0) if young else value
+        is_starting = self.loop.now < born + self.old_answers
+        return Value(b"", 0) if is_starting else value
 
     def apply(self, writes):
         """Do a write if its condition holds; raise StoreConflict if not."""
@@ -367,7 +367,7 @@
         if router is None:
             return
         keeper = router.keeper
-        owners = (keeper, keeper._lender, keeper._hand_overs)
+        owners = (keeper, keeper._loans, keeper._handoffs)
         for task in router.tasks + [t for o in owners for t in o._tasks]:
             task.cancel()
         # What was under way may have used all that was set aside for it.
@@ -401,11 +401,11 @@
             self.loop.call_later(index * gap, self.stop, address)
 
     async def _stop(self, router):
-        await router.keeper.hand_over()
+        await router.keeper.hand_off()
         await asyncio.sleep(STOP_LINGER)
         with contextlib.suppress(asyncio.TimeoutError):
             async with asyncio.timeout(STOP_RESERVE):
-                await router.keeper.hand_over()
+                await router.keeper.hand_off()
         if self.routers.get(router.address) is router:
             self.kill(router.address, 0.3)
 
--- a/test/test_entries.py
+++ b/test/test_entries.py
@@ -13,11 +13,11 @@
 import pytest
 
 from rowanport.errors import MessageError
-from rowanport.gateway.changes import ChangeLog
-from rowanport.gateway.changes import NO_LIST
-from rowanport.gateway.changes import UpstreamDelta
 from rowanport.gateway.upstream import Upstream
 from rowanport.gateway.upstream import UpstreamList
+from rowanport.gateway.upstream_delta import ChangeLog
+from rowanport.gateway.upstream_delta import NO_LIST
+from rowanport.gateway.upstream_delta import UpstreamDelta
 from rowanport.platform.entries import decode_entry
 from rowanport.platform.entries import ENTRY_LIMIT
 from rowanport.platform.entries import EntryBook
@@ -248,7 +248,7 @@
         name, old.service, "10.0.0.9:9", old.data_centre, 64, False, born
     )
     for one in router.pool.update(records):
-        router.prefixes.forget(one)
+        router.prefixes.remove_engine(one)
 
 
 def test_a_run_that_began_anew_has_no_past():
@@ -256,7 +256,7 @@
     job = make_job()
     name = router.send(job)
     state = router.pool.get(name)
-    state.note_failure(router.clock.now, weight=2)
+    state.record_failure(router.clock.now, weight=2)
     state.outstanding = 3
     restart(router, name, born=7)
     fresh = router.pool.get(name)
@@ -267,7 +267,9 @@
         0,
     )
     assert fresh.backlog.tokens(router.clock.now) == 0
-    assert name not in router.prefixes.engines(job.prefix, router.clock.now)
+    assert name not in router.prefixes.engines_with(
+        job.prefix, router.clock.now
+    )
     assert fresh.record.address == "10.0.0.9:9"
 
 
--- a/test/test_loop_heartbeats.py
+++ b/test/test_loop_heartbeats.py
@@ -10,13 +10,11 @@
 from test.test_supervision import Scene
 import types
 from unittest import mock
-
 import pytest
 import structlog
 from structlog.testing import capture_logs
-
 from rowanport import supervision
-from rowanport.gateway import crashes
+from rowanport.gateway import crash_guard
 from rowanport.gateway import views
 from rowanport.platform import directory
 from rowanport.supervision import beat
@@ -135,7 +133,7 @@
     modules = {
         "views": views,
         "RouterDirectory": directory,
-        "suspects": crashes,
+        "suspects": crash_guard,
     }
     if name in modules:
         asleep = types.SimpleNamespace(sleep=hang, Event=asyncio.Event)
