--- a/test/test_loop_heartbeats.py
+++ b/test/test_loop_heartbeats.py
@@ -10,9 +10,11 @@
 from test.test_supervision import Scene
 import types
 from unittest import mock
+
 import pytest
 import structlog
 from structlog.testing import capture_logs
+
 from rowanport import supervision
 from rowanport.gateway import crash_guard
 from rowanport.gateway import views
