--- a/rowanport/upstreams/__init__.py
+++ b/rowanport/upstreams/__init__.py
@@ -1,4 +1,4 @@
-"""The upstreams of each group: choice, calls, health."""
+"""The upstreams of each group: selection, health and client calls."""
 
 from .engine import EngineClient
 from .pool import Pool
--- a/rowanport/upstreams/engine.py
+++ b/rowanport/upstreams/engine.py
@@ -1,4 +1,4 @@
-"""Calls of model engines: OpenAI-compatible chat completions over SSE."""
+"""Client of model engines: OpenAI-compatible chat completions over SSE."""
 
 import json
 
@@ -8,15 +8,17 @@
 REQUEST_HEADER = "x-request-id"
 BUDGET_HEADER = "x-budget"
 LEAVING_HEADER = "x-leaving"
-SHORT_TIMEOUT = 2.0
+STATUS_TIMEOUT = 2.0
 DONE = b"[DONE]"
 
 
 class Usage:
-    """What a run consumed, in tokens.
+    """The tokens that a run consumed.
 
-    :ivar run: run id as the engine names it
-    :ivar finish: why it ended, or None while it runs
+    :ivar run: run id that the engine assigned
+    :ivar prompt: prompt tokens
+    :ivar completion: completion tokens
+    :ivar finish: finish reason, or None while it runs
     """
 
     __slots__ = ("run", "prompt", "completion", "finish")
@@ -33,7 +35,10 @@
 
 
 class Chunk:
-    """One event of an answer, as parsed JSON."""
+    """One event of an answer.
+
+    :ivar value: the parsed JSON object
+    """
 
     __slots__ = ("value",)
 
@@ -58,18 +63,19 @@
     def created(self):
         created = self.value.get("created", 0)
         if isinstance(created, bool) or not isinstance(created, int):
-            raise UpstreamError("the answer's time of creation is malformed")
+            raise UpstreamError("malformed creation time in the answer")
         return created
 
 
 class EngineStream:
-    """An answer as it arrives, checked to be that of its own request.
+    """A streamed answer, checked to belong to the request.
 
-    :ivar run: run id as the engine names it, empty before the first event
-    :ivar created: when the engine took the run, in Unix seconds; the same
-        for each stream of one run, so that a second try gets equal answers
+    :ivar run: run id that the engine assigned, empty before the first event
+    :ivar created: when the engine accepted the run, in Unix seconds; the same
+        in each stream of one run, so that a repeated request gets an equal
+        answer
     :ivar usage: the Usage, None before the last event
-    :ivar leaving: whether the engine said that it leaves
+    :ivar leaving: whether the engine announced that it is leaving
     """
 
     def __init__(self, answer, request, address):
@@ -84,7 +90,8 @@
     async def chunks(self):
         """Yield the Chunks; the last one carries the usage.
 
-        :raises UpstreamError: the answer is cut short or another's
+        :raises UpstreamError: the answer is truncated, malformed or belongs to
+            another request or run
         """
         ended = False
         async for data in _events(self._answer.pieces()):
@@ -93,18 +100,18 @@
                 continue
             yield self._read(data)
         if not ended or self.usage is None:
-            raise UpstreamError("the answer was cut short")
+            raise UpstreamError("truncated answer")
 
     def _read(self, data):
         try:
             chunk = Chunk(json.loads(data))
         except ValueError:
-            raise UpstreamError("the answer is not JSON") from None
+            raise UpstreamError("an event of the answer is not JSON") from None
         run = str(chunk.value.get("id", ""))
         if not run.startswith(self._request):
-            raise UpstreamError("the answer is another request's")
+            raise UpstreamError("the answer belongs to another request")
         if self.run and run != self.run:
-            raise UpstreamError("the answer changed its run")
+            raise UpstreamError("the run id changed within the answer")
         self.run = run
         self.created = chunk.created
         if chunk.usage:
@@ -112,7 +119,7 @@
         return chunk
 
     def close(self):
-        """Drop the connection."""
+        """Close the connection, also within the answer."""
         self._answer.close()
 
 
@@ -120,7 +127,7 @@
     """Calls engines by address.
 
     :param client: an HttpClient
-    :param timeout: longest silence within an answer in seconds
+    :param timeout: idle timeout within an answer in seconds
     """
 
     def __init__(self, client, timeout):
@@ -132,10 +139,13 @@
     ):
         """Start a request and return its EngineStream.
 
-        :param request: request id; an engine that knows it attaches the
-            caller to the run it has
+        :param request: request id; an engine that knows it answers with the
+            existing run
+        :param budget: budget id, sent along with the request
+        :param body: the request body as a JSON object
         :param stall_policy: the Patience asked when the answer stalls
-        :raises UpstreamError: ``started`` says if it may have run
+        :raises UpstreamError: the call failed; ``started`` says whether it may
+            have run
         """
         headers = [
             ("content-type", "application/json"),
@@ -154,7 +164,10 @@
         return await self._open(answer, address, request)
 
     async def resume(self, address, request):
-        """Return the EngineStream of a run, from its start, or None."""
+        """Return the EngineStream of an existing run from its first event.
+
+        :returns: None if the engine does not know the request
+        """
         answer = await self._client.request(
             address,
             "GET",
@@ -169,26 +182,27 @@
     async def _open(self, answer, address, request):
         if answer.status != 200:
             await answer.read()
-            # The protocol says that a 4xx or 503 started nothing.
+            # By the protocol, a 4xx or 503 means that no run was started.
             started = answer.status not in (400, 404, 422, 429, 503)
             raise UpstreamError(f"{address} answered {answer.status}", started)
         if answer.headers.get(REQUEST_HEADER) != request:
             answer.close()
-            raise UpstreamError(f"{address} answered another request")
+            raise UpstreamError(f"answer from {address} to another request")
         return EngineStream(answer, request, address)
 
     async def usage(self, address, request, cancel=False):
-        """Return the Usage of a run so far, or None if it is not known.
+        """Return the current Usage of a run.
 
-        :param cancel: whether to end the run first
-        :raises UpstreamError: the engine did not say
+        :param cancel: whether to cancel the run first
+        :returns: None if the engine does not know the request
+        :raises UpstreamError: the engine failed to answer
         """
         action = "/cancel" if cancel else ""
         status, value = await self._client.request_json(
             address,
             "POST" if cancel else "GET",
             f"/v1/requests/{request}{action}",
-            timeout=SHORT_TIMEOUT,
+            timeout=STATUS_TIMEOUT,
         )
         if status == 404:
             return None
@@ -197,9 +211,12 @@
         return _read_usage(value["id"], value["usage"], value["finish"])
 
     async def load(self, address):
-        """Return how many requests wait at an engine, and if it leaves."""
+        """Return an engine's queue length and whether it is leaving.
+
+        :raises UpstreamError: the engine failed to answer
+        """
         status, value = await self._client.request_json(
-            address, "GET", "/load", timeout=SHORT_TIMEOUT
+            address, "GET", "/load", timeout=STATUS_TIMEOUT
         )
         if status != 200:
             raise UpstreamError(f"{address} answered {status}")
@@ -215,7 +232,7 @@
             finish,
         )
     except (KeyError, TypeError, ValueError):
-        raise UpstreamError("the answer's usage is malformed") from None
+        raise UpstreamError("malformed usage in the answer") from None
 
 
 async def _events(pieces):
--- a/rowanport/upstreams/pool.py
+++ b/rowanport/upstreams/pool.py
@@ -1,53 +1,63 @@
-"""Choice among the upstreams of one group.
+"""Selection among the upstreams of one group.
 
-Bounded-load rendezvous hashing (Mirrokni et al., 2016; Thaler and
-Ravishankar, 1996): a key's first upstream takes the request unless it has
-more than its share, else the next one does.  The key is an organisation's
-prompt prefix, so that engines find it in their cache.
+Rendezvous hashing with bounded loads (Mirrokni et al., 2016; Thaler and
+Ravishankar, 1996): a request goes to the first upstream in its key's order
+that has not reached its load bound.  The key of a chat request is its
+organisation and prompt prefix, so that engines find the prefix in their
+caches.
 """
 
 import math
 
 from ..hashing import rendezvous
 
-SPREAD = 1.25
-SLOW_START = 5.0
-SLOW_FLOOR = 0.2
-EJECT_AFTER = 3
+# Load bound of an upstream, as a multiple of the mean load.
+LOAD_FACTOR = 1.25
+SLOW_START_SECONDS = 5.0
+SLOW_START_SHARE = 0.2
+EJECT_AFTER_FAILURES = 3
 EJECT_SECONDS = 5.0
-REPORT_LIFE = 5.0
+LOAD_REPORT_TTL = 5.0
 
 
 class Upstream:
-    """One upstream as this router sees it.
-
-    :ivar outstanding: requests of this router that run there
-    :ivar leaving_until: until when it is taken to be leaving
-    :ivar ejected_until: until when it gets nothing after failures
+    """One upstream and this router's state for it.
+
+    Times are monotonic unless stated otherwise.
+
+    :ivar record: its UpstreamRecord in the configuration
+    :ivar outstanding: number of this router's requests that run there
+    :ivar waiting: queue length that the engine last reported
+    :ivar load_expires_at: time up to which that report is used
+    :ivar leaving: whether the platform lists it as leaving
+    :ivar leaving_until: wall time up to which a leaving note is in effect
+    :ivar ejected_until: time up to which it is ejected after failures
+    :ivar failures: number of consecutive failures
+    :ivar full_share_at: time at which its slow start ends
     """
 
     __slots__ = (
         "record",
         "outstanding",
         "waiting",
-        "report_until",
+        "load_expires_at",
         "leaving",
         "leaving_until",
         "ejected_until",
         "failures",
-        "full_from",
+        "full_share_at",
     )
 
-    def __init__(self, record, full_from):
+    def __init__(self, record, full_share_at):
         self.record = record
         self.outstanding = 0
         self.waiting = 0
-        self.report_until = 0.0
+        self.load_expires_at = 0.0
         self.leaving = False
         self.leaving_until = 0.0
         self.ejected_until = 0.0
         self.failures = 0
-        self.full_from = full_from
+        self.full_share_at = full_share_at
 
     @property
     def address(self):
@@ -57,8 +67,8 @@
 class Pool:
     """The upstreams of a group.
 
-    :param oversubscription: requests that the fleet sends an upstream for
-        each that it can run at once
+    :param oversubscription: number of requests that the fleet may send to an
+        upstream for each one that it can run concurrently
     :param clock: a Clock
     """
 
@@ -71,7 +81,7 @@
     # Changes
 
     def update(self, records, first=False):
-        """Take over the configured upstreams.
+        """Apply the configured upstreams, keeping the state of known ones.
 
         :param records: UpstreamRecords of the group
         :param first: whether this is the router's first configuration, in
@@ -83,7 +93,7 @@
         for record in records:
             upstream = known.get(record.address)
             if upstream is None:
-                start = now if first or not known else now + SLOW_START
+                start = now if first or not known else now + SLOW_START_SECONDS
                 upstream = Upstream(record, start)
             upstream.record = record
             self._upstreams[record.address] = upstream
@@ -93,29 +103,29 @@
         self._routers = max(1, count)
 
     def set_leaving(self, addresses):
-        """Take over which upstreams the platform lists as leaving."""
+        """Set which upstreams the platform lists as leaving."""
         for upstream in self._upstreams.values():
             upstream.leaving = upstream.address in addresses
 
     def note_leaving(self, address, until):
-        """Take an upstream's or a peer's word that it is leaving.
+        """Mark an upstream as leaving, by its own or a peer's report.
 
-        :param until: wall time at which the note lapses
-        :returns: whether that is news
+        :param until: wall time at which the mark expires
+        :returns: whether no mark was in effect
         """
         upstream = self._upstreams.get(address)
         if upstream is None or upstream.leaving_until >= until:
             return False
-        news = upstream.leaving_until <= self._clock.wall()
+        is_new = upstream.leaving_until <= self._clock.wall()
         upstream.leaving_until = until
-        return news
+        return is_new
 
     def note_load(self, address, waiting):
-        """Take in an engine's report of its queue."""
+        """Record the queue length that an engine reported."""
         upstream = self._upstreams.get(address)
         if upstream is not None:
             upstream.waiting = waiting
-            upstream.report_until = self._clock.steady() + REPORT_LIFE
+            upstream.load_expires_at = self._clock.steady() + LOAD_REPORT_TTL
 
     # Views
 
@@ -124,7 +134,7 @@
         return list(self._upstreams.values())
 
     def is_open(self, upstream):
-        """Return whether an upstream may get new work."""
+        """Return whether an upstream is not leaving."""
         return not (
             upstream.leaving
             or upstream.record.leaving
@@ -132,49 +142,51 @@
         )
 
     def _usable(self):
-        """Return the open upstreams, without ejected ones if any is left.
+        """Return the open upstreams without the ejected ones.
 
-        At most half of a group is ejected: beyond that the fault is hardly
-        the upstreams' own.
+        If more than half of the open ones are ejected, none is left out: the
+        cause is then hardly in the upstreams themselves.
         """
         now = self._clock.steady()
-        open_ones = [u for u in self._upstreams.values() if self.is_open(u)]
-        healthy = [u for u in open_ones if u.ejected_until <= now]
-        if 2 * len(healthy) < len(open_ones):
-            return open_ones
+        open_upstreams = [
+            u for u in self._upstreams.values() if self.is_open(u)
+        ]
+        healthy = [u for u in open_upstreams if u.ejected_until <= now]
+        if 2 * len(healthy) < len(open_upstreams):
+            return open_upstreams
         return healthy
 
     def limit(self, upstream):
-        """Return how many requests this router may have there at once."""
+        """Return this router's concurrency limit at an upstream."""
         share = upstream.record.capacity * self._oversubscription
         share /= self._routers
         now = self._clock.steady()
-        if now < upstream.full_from:
-            left = (upstream.full_from - now) / SLOW_START
-            share *= max(SLOW_FLOOR, 1.0 - left)
-        reported = now < upstream.report_until
+        if now < upstream.full_share_at:
+            left = (upstream.full_share_at - now) / SLOW_START_SECONDS
+            share *= max(SLOW_START_SHARE, 1.0 - left)
+        reported = now < upstream.load_expires_at
         if reported and upstream.waiting > upstream.record.capacity:
             share /= 2
         return max(1, math.ceil(share))
 
     def slots(self):
-        """Return how many requests the group runs for this router."""
+        """Return this router's concurrency limit for the whole group."""
         return sum(self.limit(upstream) for upstream in self._usable())
 
     def has_room(self):
-        """Return whether any upstream could take a request now."""
+        """Return whether any upstream has a free slot."""
         return any(u.outstanding < self.limit(u) for u in self._usable())
 
     # Choice
 
     def order(self, key):
-        """Return the addresses in the order in which a key prefers them."""
+        """Return the addresses in the rendezvous order of a key."""
         return rendezvous(key, self._upstreams)
 
     def choose(self, key, avoid=()):
-        """Return the upstream for a key, or None if all are full.
+        """Return the upstream for a key, or None if none has a free slot.
 
-        :param avoid: addresses that already failed this request
+        :param avoid: addresses of upstreams not to choose
         """
         usable = {
             upstream.address: upstream
@@ -184,7 +196,7 @@
         if not usable:
             return None
         total = sum(upstream.outstanding for upstream in usable.values()) + 1
-        bound = math.ceil(SPREAD * total / len(usable))
+        bound = math.ceil(LOAD_FACTOR * total / len(usable))
         order = [usable[name] for name in rendezvous(key, usable)]
         for cap in (bound, math.inf):
             for upstream in order:
@@ -193,24 +205,29 @@
         return None
 
     def any_usable(self):
-        """Return whether the group has an upstream that may get work."""
+        """Return whether any upstream may get new requests."""
         return bool(self._usable())
 
     # Outcomes
 
     def started(self, upstream):
-        """Count a request in."""
+        """Record the start of a request."""
         upstream.outstanding += 1
 
     def ended(self, upstream, failed):
-        """Count a request out; eject an upstream that keeps failing."""
+        """Record the end of a request; eject an upstream that keeps failing.
+
+        :param failed: whether the failure counts against the upstream
+        """
         upstream.outstanding -= 1
         if not failed:
             upstream.failures = 0
             return
         upstream.failures += 1
-        if upstream.failures >= EJECT_AFTER:
+        if upstream.failures >= EJECT_AFTER_FAILURES:
             upstream.failures = 0
             now = self._clock.steady()
             upstream.ejected_until = now + EJECT_SECONDS
-            upstream.full_from = upstream.ejected_until + SLOW_START
+            upstream.full_share_at = (
+                upstream.ejected_until + SLOW_START_SECONDS
+            )
--- a/rowanport/upstreams/service.py
+++ b/rowanport/upstreams/service.py
@@ -1,4 +1,4 @@
-"""Calls of plain services: one request, one whole answer."""
+"""Client of plain services, whose answers are not streamed."""
 
 from ..errors import UpstreamError
 
@@ -7,7 +7,12 @@
 
 
 class ServiceReply:
-    """The whole answer of a plain service."""
+    """The complete answer of a plain service.
+
+    :ivar status: HTTP status code
+    :ivar kind: content type
+    :ivar body: bytes
+    """
 
     __slots__ = ("status", "kind", "body")
 
@@ -18,7 +23,11 @@
 
 
 class ServiceClient:
-    """Calls plain services by address."""
+    """Calls plain services by address.
+
+    :param client: an HttpClient
+    :param timeout: idle timeout within an answer in seconds
+    """
 
     def __init__(self, client, timeout):
         self._client = client
@@ -29,10 +38,12 @@
     ):
         """Send a request and return the ServiceReply.
 
-        :param request: request id, passed on so that a service can refuse
-            to do the same twice
+        :param request: request id, sent also as the idempotency key, so that a
+            service can refuse to run the same request twice
+        :param kind: content type of the body
         :param stall_policy: the Patience asked when the answer stalls
-        :raises UpstreamError: ``started`` says if it may have run
+        :raises UpstreamError: the call failed; ``started`` says whether it may
+            have run
         """
         headers = [
             ("content-type", kind),
@@ -50,8 +61,8 @@
         )
         data = await answer.read()
         if answer.headers.get(REQUEST_HEADER, request) != request:
-            raise UpstreamError(f"{address} answered another request")
+            raise UpstreamError(f"answer from {address} to another request")
         if answer.status in (429, 503):
-            raise UpstreamError(f"{address} is busy", started=False)
+            raise UpstreamError(f"{address} is overloaded", started=False)
         kind = answer.headers.get("content-type", "application/octet-stream")
         return ServiceReply(answer.status, kind, data)
