--- a/rowanport/router/__init__.py
+++ b/rowanport/router/__init__.py
@@ -1,4 +1,4 @@
-"""The router daemon: callers, peers and operators at one instance."""
+"""The router daemon: serves callers, peers and operators on one instance."""
 
 from .daemon import Router
 
--- a/rowanport/router/answers.py
+++ b/rowanport/router/answers.py
@@ -1,4 +1,4 @@
-"""How callers are answered: headers, errors, times to come back."""
+"""Answers to callers: headers, errors and retry times."""
 
 import math
 import random
@@ -14,9 +14,10 @@
 
 
 def answer_headers(call, outcome):
-    """Return the headers that each answer carries.
+    """Return the headers that every answer carries.
 
-    :param call: the Call, or None if it could not be read
+    :param call: the Call, or None if the request could not be read
+    :param outcome: the Outcome of the request
     """
     headers = [(OUTCOME, outcome.value)]
     headers.append((REQUEST, call.request if call else "none"))
@@ -25,23 +26,26 @@
     return headers
 
 
-def retry_seconds(least):
-    """Return a time to come back, spread so that not all do so at once.
+def retry_after_seconds(least):
+    """Return whole seconds for Retry-After, with jitter.
 
-    :param least: shortest time in seconds
+    The jitter keeps refused callers from all retrying at once.
+
+    :param least: minimum in seconds; the result is up to three times as long
     """
     return max(1, math.ceil(least * (1 + 2 * _RANDOM.random())))
 
 
 async def send_error(responder, call, error, least):
-    """Answer with a RequestError.
+    """Answer a request with a RequestError.
 
-    :param least: shortest time to come back in seconds
+    :param call: the Call, or None if the request could not be read
+    :param least: minimum time until a retry in seconds
     """
     answer = ANSWERS[error.kind]
     headers = answer_headers(call, error.outcome)
     if answer.retry:
-        headers.append(("Retry-After", str(retry_seconds(least))))
+        headers.append(("Retry-After", str(retry_after_seconds(least))))
     else:
         headers.append(("x-should-retry", "false"))
     if error.kind in (ErrorKind.TOO_LARGE, ErrorKind.TOO_SLOW):
--- a/rowanport/router/call.py
+++ b/rowanport/router/call.py
@@ -1,4 +1,4 @@
-"""A caller's request: who asks, for what, until when."""
+"""Parsing and authentication of a caller's request."""
 
 import datetime
 import math
@@ -11,32 +11,34 @@
 from ..hashing import request_id
 
 BEARER = "bearer "
-KEY_LIMIT = 200
-# Keys that routers made. A request with such a key is never a first try.
-MADE_KEY = "rowanport-"
+MAX_KEY_LENGTH = 200
+# Prefix of idempotency keys that routers generated.  A caller only has such a
+# key from an answer, so a request that carries one is never a first attempt.
+GENERATED_KEY_PREFIX = "rowanport-"
 DEFAULT_BUDGET = "main"
 
 
 class Call:
-    """One request of a caller, authenticated and read.
+    """One request of a caller, authenticated and parsed.
 
     :ivar organisation: the OrganisationRecord
-    :ivar request: request id, the same for each try with the same key
-    :ivar key: the caller's key, or the one made here
-    :ivar key_made: whether the key was made here, so this is the first try
+    :ivar request: request id, the same for all attempts with the same key
+    :ivar key: idempotency key, from the caller or generated
+    :ivar key_generated: whether this router generated the key, so that this is
+        the first attempt
     :ivar budget: budget id
     :ivar deadline: wall time
     :ivar repeatable: whether it may run more than once
-    :ivar kind: what the caller calls it, for the policy
-    :ivar retrying: whether the caller says that it tried before
-    :ivar fingerprint: hash of what is asked
+    :ivar kind: kind of request that the caller states, for the policy
+    :ivar retrying: whether the caller states that this is a retry
+    :ivar fingerprint: hash of path and body
     """
 
     __slots__ = (
         "organisation",
         "request",
         "key",
-        "key_made",
+        "key_generated",
         "budget",
         "deadline",
         "repeatable",
@@ -46,26 +48,31 @@
     )
 
     @property
-    def made_elsewhere(self):
-        """Return whether its key was made by a router at an earlier try."""
-        return self.key.startswith(MADE_KEY) and not self.key_made
+    def reuses_generated_key(self):
+        """Return whether a router generated its key at an earlier attempt."""
+        return (
+            self.key.startswith(GENERATED_KEY_PREFIX)
+            and not self.key_generated
+        )
 
 
 def read_call(request, snapshot, settings, now):
-    """Return the Call in an HttpRequest.
+    """Return the Call of an HttpRequest.
 
-    :param snapshot: the configuration in force
+    :param snapshot: the active configuration
     :param settings: CallerSettings
-    :raises RequestError: it is not authenticated or malformed
+    :param now: wall time
+    :raises RequestError: the request is not authenticated or malformed, or its
+        deadline has passed
     """
     call = Call()
     call.organisation = authenticate(request, snapshot)
     call.key = request.header("idempotency-key")
-    if len(call.key) > KEY_LIMIT:
+    if len(call.key) > MAX_KEY_LENGTH:
         raise RequestError(ErrorKind.MALFORMED, "Idempotency-Key is too long")
-    call.key_made = not call.key
-    if call.key_made:
-        call.key = MADE_KEY + new_id() + new_id()
+    call.key_generated = not call.key
+    if call.key_generated:
+        call.key = GENERATED_KEY_PREFIX + new_id() + new_id()
     name = call.organisation.name
     call.request = request_id(name, call.key)
     budget = request.header("rowanport-budget", DEFAULT_BUDGET)
@@ -81,13 +88,18 @@
 
 
 def authenticate(request, snapshot):
-    """Return the OrganisationRecord whose key a request carries."""
+    """Return the OrganisationRecord whose API key a request carries.
+
+    :raises RequestError: no organisation has this key
+    """
     header = request.header("authorization")
     key = header[len(BEARER) :].strip()
     record = snapshot.organisations.get(keys.organisation_of(key))
-    named = header.lower().startswith(BEARER)
-    if not named or record is None or not keys.matches(record, key):
-        raise RequestError(ErrorKind.UNAUTHENTICATED, "unknown key")
+    has_scheme = header.lower().startswith(BEARER)
+    if not has_scheme or record is None or not keys.matches(record, key):
+        raise RequestError(
+            ErrorKind.UNAUTHENTICATED, "missing or unknown API key"
+        )
     return record
 
 
@@ -105,7 +117,9 @@
             ErrorKind.MALFORMED, "Rowanport-Deadline is not an RFC 3339 time"
         )
     if deadline <= now:
-        raise RequestError(ErrorKind.DEADLINE_PASSED, "the deadline is over")
+        raise RequestError(
+            ErrorKind.DEADLINE_PASSED, "the deadline has passed"
+        )
     return min(deadline, now + settings.longest_deadline)
 
 
@@ -113,6 +127,6 @@
     text = request.header("rowanport-repeatable", "yes").lower()
     if text not in ("yes", "no"):
         raise RequestError(
-            ErrorKind.MALFORMED, "Rowanport-Repeatable is yes or no"
+            ErrorKind.MALFORMED, "Rowanport-Repeatable must be yes or no"
         )
     return text == "yes"
--- a/rowanport/router/callers.py
+++ b/rowanport/router/callers.py
@@ -1,4 +1,4 @@
-"""The callers' side of a router."""
+"""The HTTP server for callers."""
 
 import structlog
 
@@ -17,9 +17,10 @@
 
 
 class CallerServer:
-    """Reads requests, has them run, answers errors.
+    """Reads requests, passes them to their runners and answers errors.
 
     :param router: the Router
+    :param settings: Settings
     """
 
     def __init__(self, router, settings):
@@ -38,7 +39,7 @@
 
     @property
     def busy(self):
-        """Return the number of requests in hand."""
+        """Return the number of requests in progress."""
         return self._server.busy
 
     async def start(self, address, port):
@@ -46,13 +47,13 @@
         await self._server.start(address, port)
 
     def drain(self):
-        """Close connections with their next answers."""
+        """Close each connection after its next answer."""
         self._server.drain()
 
     async def finish(self, seconds):
         """Stop listening, close idle connections, wait for the others.
 
-        :param seconds: longest wait
+        :param seconds: maximum time to wait
         """
         await self._server.finish(seconds)
 
@@ -86,19 +87,23 @@
             raise
         except Exception:
             LOG.exception("request_failed")
-            error = RequestError(ErrorKind.INTERNAL, "an internal fault")
+            error = RequestError(ErrorKind.INTERNAL, "internal error")
             await self._send_error(responder, call, error)
 
     def _check_ready(self):
         if self._router.stopping:
             raise RequestError(ErrorKind.STOPPING, "the router is stopping")
         if not self._router.ready:
-            raise RequestError(ErrorKind.NOT_READY, "no configuration yet")
+            raise RequestError(
+                ErrorKind.NOT_READY, "the router has no configuration yet"
+            )
 
     def _find_runner(self, request):
         if request.path == CHAT:
             if request.method != "POST":
-                raise RequestError(ErrorKind.MALFORMED, "POST is expected")
+                raise RequestError(
+                    ErrorKind.MALFORMED, "the method must be POST"
+                )
             return self._router.chat
         if request.path.startswith(SERVICES):
             return self._router.service
@@ -117,8 +122,8 @@
     async def _send_error(self, responder, call, error):
         self._count(error.kind.value, error.outcome)
         if responder.started:
-            # The answer is under way: closing it in the middle is all that
-            # is left, so that it cannot look whole.
+            # Part of the answer was sent: it is left without an end, so that
+            # the caller does not take it for complete.
             return
         await answers.send_error(responder, call, error, self._retry_after)
 
--- a/rowanport/router/chat.py
+++ b/rowanport/router/chat.py
@@ -1,4 +1,4 @@
-"""Chat completions: OpenAI's API towards callers and engines."""
+"""Chat completions, by OpenAI's API towards both callers and engines."""
 
 import json
 
@@ -9,17 +9,21 @@
 from .answers import answer_headers
 from .answers import error_body
 from .runner import Job
-from .runner import refuse_second_try
+from .runner import refuse_duplicate
 from .runner import Runner
 
 PREFIX_BYTES = 256
-MESSAGE_TOKENS = 8
+TOKENS_PER_MESSAGE = 8
 CANCELLED = "cancelled"
-TOKENS_LIMIT = 1_000_000
+MAX_TOKENS_LIMIT = 1_000_000
 
 
 class ChatRunner(Runner):
-    """Runs chat completions at model engines."""
+    """Runs chat completions on model engines.
+
+    :param router: the Router
+    :param engines: an EngineClient
+    """
 
     def __init__(self, router, engines):
         super().__init__(router)
@@ -30,7 +34,10 @@
     def make_job(self, call, request, arrived):
         """Return the Job of a chat completion.
 
-        :raises RequestError: it is malformed or refused by policy
+        :param call: the Call
+        :param request: the HttpRequest
+        :param arrived: monotonic time of its arrival
+        :raises RequestError: the request is malformed or refused by policy
         """
         body = request.json()
         chat = _read_chat(body)
@@ -38,7 +45,7 @@
         limit = _read_limit(body, group)
         text = json.dumps(chat).encode()
         size = sum(len(_content(message).encode()) for message in chat)
-        prompt = MESSAGE_TOKENS * len(chat) + int(
+        prompt = TOKENS_PER_MESSAGE * len(chat) + int(
             size / group.bytes_per_token + 1
         )
         cost = prompt + limit
@@ -73,11 +80,11 @@
             job.stall_policy,
         )
         if stream.leaving:
-            self._router.spread_leaving(upstream.address)
+            self._router.announce_leaving(upstream.address)
         await self._relay(job, stream, responder)
         return stream.usage.tokens
 
-    async def attach(self, job, claimed, responder):
+    async def answer_duplicate(self, job, claimed, responder):
         try:
             stream = await self._engines.resume(
                 claimed.upstream, job.call.request
@@ -85,26 +92,26 @@
         except UpstreamError:
             stream = None
         if stream is None:
-            refuse_second_try(claimed)
+            refuse_duplicate(claimed)
         try:
             await self._relay(job, stream, responder)
         except UpstreamError:
             if job.sent:
                 raise
-            refuse_second_try(claimed)
+            refuse_duplicate(claimed)
 
-    async def consumed(self, job, address):
+    async def end_run(self, job, address):
         usage = await self._engines.usage(
             address, job.call.request, cancel=True
         )
         if usage is None:
-            # The engine does not know the request: nothing of it was
-            # served, unless some of its answer was seen.
+            # The engine does not know the request.  It consumed nothing,
+            # unless part of its answer arrived: then the worst case is billed.
             return job.run, job.cost if job.run else 0
         return usage.run, usage.tokens
 
     async def _relay(self, job, stream, responder):
-        """Pass an answer on to the caller, streamed or whole."""
+        """Forward an answer to the caller, streamed or in one piece."""
         try:
             if job.body.get("stream"):
                 await self._relay_stream(job, stream, responder)
@@ -118,13 +125,13 @@
         wants_usage = bool(options.get("include_usage"))
         try:
             async for chunk in stream.chunks():
-                self._take_chunk(job, stream, chunk)
+                self._process_chunk(job, stream, chunk)
                 if not responder.started:
                     await self._start_stream(job, responder)
                 await self._send_chunk(job, chunk, wants_usage, responder)
         except UpstreamError as error:
             if job.sent:
-                await _break_off(responder, error)
+                await _send_stream_error(responder, error)
             raise
         await responder.write(b"data: [DONE]\n\n")
         await responder.finish()
@@ -133,14 +140,14 @@
         headers = answer_headers(job.call, Outcome.DONE)
         headers.append(("content-type", "text/event-stream"))
         job.sent = True
-        self._observe_first(job)
+        self._observe_first_token(job)
         await responder.start(200, headers)
 
-    def _observe_first(self, job):
+    def _observe_first_token(self, job):
         seconds = self._router.clock.steady() - job.arrived
         self._router.metrics.first_token.observe({}, seconds)
 
-    def _take_chunk(self, job, stream, chunk):
+    def _process_chunk(self, job, stream, chunk):
         job.run = stream.run
         if chunk.finish == CANCELLED:
             raise UpstreamError("the run was cancelled")
@@ -157,21 +164,22 @@
         words = []
         finish = None
         async for chunk in stream.chunks():
-            self._take_chunk(job, stream, chunk)
+            self._process_chunk(job, stream, chunk)
             if chunk.text:
                 words.append(chunk.text)
             finish = chunk.finish or finish
         value = _completion(job, stream, "".join(words), finish)
-        self._observe_first(job)
+        self._observe_first_token(job)
         headers = answer_headers(job.call, Outcome.DONE)
         job.sent = True
         await responder.reply_json(200, value, headers)
 
 
-async def _break_off(responder, error):
-    """End a stream so that it cannot look whole.
+async def _send_stream_error(responder, error):
+    """Report an error within a stream that has begun.
 
-    The body's end is never sent: the connection closes in the middle.
+    The end of the body is not sent, and the connection is closed, so that the
+    caller does not take the stream for complete.
     """
     failure = RequestError(ErrorKind.UPSTREAM_FAILED, str(error))
     data = json.dumps(error_body(failure)).encode()
@@ -181,9 +189,13 @@
 def _read_chat(body):
     chat = body.get("messages") if isinstance(body, dict) else None
     if not isinstance(chat, list) or not chat:
-        raise RequestError(ErrorKind.MALFORMED, "messages are missing")
+        raise RequestError(
+            ErrorKind.MALFORMED, "messages must be a list that is not empty"
+        )
     if not all(isinstance(message, dict) for message in chat):
-        raise RequestError(ErrorKind.MALFORMED, "a message is not an object")
+        raise RequestError(
+            ErrorKind.MALFORMED, "each message must be an object"
+        )
     if body.get("n", 1) != 1:
         raise RequestError(ErrorKind.MALFORMED, "n must be 1")
     return chat
@@ -200,8 +212,10 @@
     if limit is None:
         return group.default_max_tokens
     if isinstance(limit, bool) or not isinstance(limit, int):
-        raise RequestError(ErrorKind.MALFORMED, "max_tokens is not a number")
-    if not 0 < limit <= TOKENS_LIMIT:
+        raise RequestError(
+            ErrorKind.MALFORMED, "max_tokens must be an integer"
+        )
+    if not 0 < limit <= MAX_TOKENS_LIMIT:
         raise RequestError(ErrorKind.MALFORMED, "max_tokens is out of range")
     return limit
 
--- a/rowanport/router/daemon.py
+++ b/rowanport/router/daemon.py
@@ -1,4 +1,4 @@
-"""The router: builds its parts, connects them, starts and stops them."""
+"""The router: builds its components, connects, starts and stops them."""
 
 import asyncio
 import json
@@ -49,15 +49,15 @@
 LOG = structlog.get_logger(__name__)
 ENGINE = "engine"
 SERVICE = "service"
-LEAVING_NOTE_SECONDS = 10.0
-NOTE_TIMEOUT = 1.0
+LEAVING_SECONDS = 10.0
+NOTIFY_TIMEOUT = 1.0
 LEAVING_FANOUT = 8
 STOP_POLL = 0.05
-# Longest wait in seconds, at the end of a stop, for requests that came in
-# part and for refusals that are going out.
-LAST_READS = 0.5
+# Maximum wait in seconds, at the end of a stop, for requests that are not
+# completely read and for refusals that are being sent.
+FINISH_SECONDS = 0.5
 STORE_GRACE = 5.0
-# An upstream whose host is gone is noticed after 30 s.
+# Detects an upstream whose host is gone after 30 s.
 UPSTREAM_KEEPALIVE = Keepalive(idle=10, interval=5, probes=4)
 CANCEL_GRACE = 5.0
 
@@ -66,7 +66,7 @@
     """One router instance.
 
     :param settings: Settings
-    :param clock: a Clock
+    :param clock: a Clock, by default a SystemClock
     """
 
     def __init__(self, settings, clock=None):
@@ -94,8 +94,8 @@
         platform = settings.platform
         name = settings.router.name
         self._http = HttpClient()
-        # Answers are waited for through pauses, so that only the kernel
-        # finds an upstream whose host is gone.
+        # Stalled answers are waited for, so that only TCP keepalive detects an
+        # upstream whose host is gone.
         self._upstream_http = HttpClient(keepalive=UPSTREAM_KEEPALIVE)
         self.store = KeyValueStore(
             self._http, platform.store, name, platform.call_timeout
@@ -103,13 +103,15 @@
         self.directory = InstanceDirectory(
             self._http, platform.store, name, platform.call_timeout
         )
-        self._allowance = WriteLimiter(platform.writes_per_second)
+        self._write_limiter = WriteLimiter(platform.writes_per_second)
 
     def _build_peers(self, settings):
         secret = settings.router.secret
         own = settings.router.address
         self.peers = PeerClient(self.incarnation, secret, self.traffic, own)
-        self._peer_server = PeerServer(self._answer, secret, self.traffic)
+        self._peer_server = PeerServer(
+            self._handle_peer_message, secret, self.traffic
+        )
         self.members = Membership(
             self.incarnation,
             settings.router.data_centre,
@@ -121,12 +123,13 @@
             self.peers,
             self.directory,
             settings.membership,
-            self._take_list,
-            # Its runs are settled now, not once its heartbeats are missed.
+            self._apply_instance_list,
+            # Has the runs of an ended router settled at once, not only when
+            # its heartbeats are missed.
             self.members.suspect_address,
         )
         self.config = ConfigFollower(
-            self.store, self.peers, self.members, self._take_config
+            self.store, self.peers, self.members, self._apply_config
         )
 
     def _build_ledger(self, settings):
@@ -138,7 +141,7 @@
             self.members,
             self.book,
             settings.ledger,
-            self._allowance,
+            self._write_limiter,
             self.clock,
             self.metrics,
             self._resolve,
@@ -159,7 +162,7 @@
             self.peers,
             self.members,
             settings.claims,
-            self._allowance,
+            self._write_limiter,
             self.clock,
         )
 
@@ -183,11 +186,17 @@
         return self._groups
 
     def engine_group(self, name):
-        """Return the GroupRecord of a model; raise RequestError if none."""
+        """Return the GroupRecord of a model.
+
+        :raises RequestError: no engine group has this name
+        """
         return self._find_group(name, ENGINE)
 
     def service_group(self, name):
-        """Return the GroupRecord of a service; raise RequestError if none."""
+        """Return the GroupRecord of a service.
+
+        :raises RequestError: no service group has this name
+        """
         return self._find_group(name, SERVICE)
 
     def _find_group(self, name, kind):
@@ -199,7 +208,11 @@
         return group
 
     def facts(self, call, group, cost, size):
-        """Return what a policy may know of a request."""
+        """Return the variables of a request that a policy can use.
+
+        :param cost: worst-case cost in tokens
+        :param size: size of the body in bytes
+        """
         return {
             "organisation": call.organisation.name,
             "budget": call.budget,
@@ -214,9 +227,9 @@
             "weight": call.organisation.weight,
         }
 
-    # Changes from outside
+    # Configuration and instance list
 
-    def _take_config(self, snapshot):
+    def _apply_config(self, snapshot):
         for name in snapshot.groups:
             records = [
                 upstream
@@ -232,7 +245,7 @@
             group.pool.set_leaving(self._listed_leaving)
             group.pump()
 
-    def _take_list(self, instances):
+    def _apply_instance_list(self, instances):
         self._listed_leaving = frozenset(
             instance.address
             for instance in instances
@@ -241,37 +254,41 @@
         for group in self._groups.values():
             group.pool.set_leaving(self._listed_leaving)
 
-    def note_leaving(self, address):
-        """Stop giving new work to an upstream; say whether that is news."""
-        until = self.clock.wall() + LEAVING_NOTE_SECONDS
+    def mark_leaving(self, address):
+        """Stop sending new requests to an upstream for a while.
+
+        :returns: whether it was not known to be leaving
+        """
+        until = self.clock.wall() + LEAVING_SECONDS
         return any(
             group.pool.note_leaving(address, until)
             for group in self._groups.values()
         )
 
-    def spread_leaving(self, address):
-        """Note a leaving upstream and tell others if it is news.
+    def announce_leaving(self, address):
+        """Mark an upstream as leaving; notify peers if it was not marked.
 
-        Each tells some, who tell some: all of the fleet hears of it.
+        Each notified router notifies others, so that the whole fleet learns
+        of it.
         """
-        if not self.note_leaving(address):
+        if not self.mark_leaving(address):
             return
         LOG.info("upstream_leaving", upstream=address)
-        until = self.clock.wall() + LEAVING_NOTE_SECONDS
+        until = self.clock.wall() + LEAVING_SECONDS
         note = messages.LeavingNote(address, until)
         for peer in self.members.sample_peers(LEAVING_FANOUT):
-            self._tasks.spawn(self._tell(address_of(peer), note))
+            self._tasks.spawn(self._notify(address_of(peer), note))
 
-    async def _tell(self, address, message):
+    async def _notify(self, address, message):
         try:
-            await self.peers.call(address, message, NOTE_TIMEOUT)
+            await self.peers.call(address, message, NOTIFY_TIMEOUT)
         except PeerError:
             pass
 
     # Peers
 
-    async def _answer(self, message):
-        """Answer a message of a peer."""
+    async def _handle_peer_message(self, message):
+        """Handle a message of a peer and return the answer."""
         if isinstance(message, messages.Gossip):
             return self.members.receive(message)
         if isinstance(message, messages.ConfigAsk):
@@ -281,26 +298,29 @@
         if isinstance(message, (messages.Witness, messages.WitnessEnd)):
             return self.ledger.handle(message)
         if isinstance(message, messages.Started):
-            return await self._answer_started(message)
+            return await self._handle_started(message)
         if isinstance(message, messages.StatusAsk):
             status = json.dumps(self._operators.status()).encode()
             return messages.StatusGive(status)
         if isinstance(message, messages.LeavingNote):
-            self.spread_leaving(message.upstream)
+            self.announce_leaving(message.upstream)
             return messages.Ack()
         return await self.keeper.handle(message)
 
-    async def _answer_started(self, message):
-        """Record where a run goes, as its witness or as its home."""
+    async def _handle_started(self, message):
+        """Record the upstream of a run, as its witness or as its home."""
         answer = self.ledger.handle(message)
         if isinstance(answer, messages.Ack):
             return answer
         return await self.keeper.handle(message)
 
     async def _resolve(self, reservation):
-        """Return run and tokens of a dead entry's run once it has ended.
+        """Return (run id, tokens) of a dead entry's run once it has ended.
+
+        A run past its deadline is cancelled.
 
-        :raises RunUnknown: its upstream answers that it has no such run
+        :returns: None if the run goes on or its upstream does not answer
+        :raises RunUnknown: the upstream answers that it has no such run
         """
         late = self.clock.wall() > reservation.deadline
         try:
@@ -319,11 +339,11 @@
 
     # Loops
 
-    async def _run_load(self):
-        """Read the engines' loads in turn, a bounded number a second.
+    async def _poll_loads(self):
+        """Poll the engines' loads in random order, at a bounded rate.
 
-        So the cost does not grow with the engines; a leaving one is noticed
-        by some router soon, and the others are told.
+        The cost does not grow with the number of engines.  A leaving engine is
+        soon noticed by one of the routers, which notifies the others.
         """
         pause = 1.0 / self.settings.scheduling.load_reads
         waiting = []
@@ -332,7 +352,7 @@
                 waiting = self._engine_addresses()
                 random.shuffle(waiting)
             if waiting:
-                self._tasks.spawn(self._read_load(*waiting.pop()))
+                self._tasks.spawn(self._poll_load(*waiting.pop()))
             await asyncio.sleep(pause)
 
     def _is_engine(self, address):
@@ -347,20 +367,20 @@
             for upstream in group.pool.upstreams()
         ]
 
-    async def _read_load(self, group, address):
+    async def _poll_load(self, group, address):
         try:
             waiting, leaving = await self._engines.load(address)
         except UpstreamError:
             return
         group.pool.note_load(address, waiting)
         if leaving:
-            self.spread_leaving(address)
+            self.announce_leaving(address)
 
-    async def _run_sizes(self):
-        """Follow the number of live routers that share limits."""
+    async def _update_router_count(self):
+        """Apply the number of live routers to the limits that they share."""
         while True:
             count = len(self.members.live())
-            self._allowance.set_router_count(count)
+            self._write_limiter.set_router_count(count)
             self.metrics.live_routers.set({}, count)
             for group in self._groups.values():
                 group.pool.set_routers(count)
@@ -372,11 +392,11 @@
 
     @property
     def ready(self):
-        """Return whether callers may come."""
+        """Return whether this router accepts requests of callers."""
         return self.members.own_entry.state == READY
 
     async def start(self):
-        """Listen, and become ready once a configuration is in force."""
+        """Listen, and become ready once a configuration is active."""
         own = self.settings.router
         await self._peer_server.start(own.address, own.peer_port)
         await self._operators.start(own.address, own.operator_port)
@@ -388,8 +408,8 @@
             self.ledger.run(),
             self.claims.run(),
             self.pauses.run(),
-            self._run_load(),
-            self._run_sizes(),
+            self._poll_loads(),
+            self._update_router_count(),
             self._become_ready(),
         )
         for loop in loops:
@@ -404,9 +424,9 @@
             LOG.info("router_ready")
 
     async def stop(self, at_once):
-        """Stop: no new work, finish streams, give back grants and claims.
+        """Stop: finish open requests, then release grants and claims.
 
-        :param at_once: event that ends the wait for open streams
+        :param at_once: event that ends the wait for open requests
         """
         self.stopping = True
         self.members.set_state(LEAVING)
@@ -415,27 +435,28 @@
         await self._finish_requests(at_once, deadline)
         await self.callers.close()
         cancelled = self.clock.wall() + CANCEL_GRACE
-        while self._closing and self.clock.wall() < cancelled:
+        while self._ending_runs and self.clock.wall() < cancelled:
             await asyncio.sleep(STOP_POLL)
-        await self._give_back(deadline)
+        await self._release_shards(deadline)
         await self.close()
         LOG.info("router_stopped")
 
     async def _finish_requests(self, at_once, deadline):
-        """Wait for open requests; all that come meanwhile are refused."""
+        """Wait for open requests; refuse those that arrive meanwhile."""
         self.callers.drain()
         while self.callers.busy and self.clock.wall() < deadline:
             if at_once.is_set():
                 return
             await asyncio.sleep(STOP_POLL)
         left = deadline - self.clock.wall()
-        await self.callers.finish(max(0.0, min(LAST_READS, left)))
+        await self.callers.finish(max(0.0, min(FINISH_SECONDS, left)))
 
     @property
-    def _closing(self):
-        return self.chat.closing + self.service.closing
+    def _ending_runs(self):
+        return self.chat.ending_runs + self.service.ending_runs
 
-    async def _give_back(self, deadline):
+    async def _release_shards(self, deadline):
+        """Wait for open bills, then release grants and write claims."""
         deadline = max(deadline, self.clock.wall() + STORE_GRACE)
         while self.ledger.unsettled and self.clock.wall() < deadline:
             await asyncio.sleep(STOP_POLL)
@@ -445,7 +466,7 @@
             LOG.warning("router_stopped_with_grants")
 
     async def close(self):
-        """Drop everything at once."""
+        """Close all connections and end all tasks without waiting."""
         self._tasks.cancel()
         await self.callers.close()
         await self._operators.close()
--- a/rowanport/router/operators.py
+++ b/rowanport/router/operators.py
@@ -1,13 +1,17 @@
-"""The operators' side of a router: health, metrics, status."""
+"""The HTTP server for operators: health, metrics and status."""
 
 from ..web import HttpServer
 
-# Reservations shown of those that are unsettled, the oldest first.
-SHOWN_UNSETTLED = 20
+# Maximum number of unsettled reservations in the status, the oldest first.
+MAX_SHOWN_UNSETTLED = 20
 
 
 class OperatorServer:
-    """Serves ``/healthz``, ``/readyz``, ``/metrics`` and ``/status``."""
+    """Serves ``/healthz``, ``/readyz``, ``/metrics`` and ``/status``.
+
+    :param router: the Router
+    :param settings: Settings
+    """
 
     def __init__(self, router, settings):
         self._router = router
@@ -18,7 +22,7 @@
         await self._server.start(address, port)
 
     async def close(self):
-        """Stop at once."""
+        """Stop listening and close all connections."""
         await self._server.close()
 
     async def _handle(self, request, responder):
@@ -37,18 +41,21 @@
 
     @property
     def _unsettled(self):
-        """Return how many reservations are open, whoever's they are."""
+        """Return the number of open reservations that this router knows.
+
+        These are its own and those that its shards hold for others.
+        """
         router = self._router
         return router.ledger.unbilled + router.keeper.unsettled
 
     def _oldest_unsettled(self):
-        """Return the oldest unsettled reservations as plain values."""
+        """Return the oldest unsettled reservations as JSON values."""
         router = self._router
         items = router.ledger.unsettled_items()
         items += router.keeper.unsettled_items()
         items.sort(key=lambda item: item.since)
         now = router.clock.wall()
-        return [item.as_dict(now) for item in items[:SHOWN_UNSETTLED]]
+        return [item.as_dict(now) for item in items[:MAX_SHOWN_UNSETTLED]]
 
     def _update_gauges(self):
         router = self._router
@@ -68,7 +75,7 @@
             metrics.waiting.set({"group": name}, group.lane.size)
 
     def status(self):
-        """Return what this router does now, as plain values."""
+        """Return the state of this router as JSON values."""
         router = self._router
         return {
             "name": router.settings.router.name,
--- a/rowanport/router/runner.py
+++ b/rowanport/router/runner.py
@@ -1,7 +1,7 @@
-"""What every request goes through, whatever kind of upstream serves it.
+"""The processing of requests that all kinds of upstreams have in common.
 
-Policy, limits, reservation, turn, claim, run, settlement.  A subclass says
-how one run at one upstream is made.
+The steps are policy, limits, reservation, queueing, claim, run and settlement.
+A subclass implements one run on one upstream.
 """
 
 import abc
@@ -19,28 +19,29 @@
 from ..web.patience import NO_PATIENCE
 from .stall_policy import RunStallPolicy
 
-CLOSE_TRIES = 20
-CLOSE_PAUSE = 0.5
-START_TRIES = 3
+END_RUN_ATTEMPTS = 20
+END_RUN_PAUSE = 0.5
+START_ATTEMPTS = 3
 
 
 class Job:
-    """One request on its way through a router.
+    """One request that a router processes.
 
     :ivar call: the Call
-    :ivar decision: what the policy decided
-    :ivar cost: worst case in tokens
-    :ivar size: most tokens of its answer; 1 for a plain service
+    :ivar body: request for the upstream, as its kind of Runner needs it
+    :ivar decision: the Decision of the policy
+    :ivar cost: worst-case cost in tokens
+    :ivar size: maximum tokens of the answer; 1 for a plain service
     :ivar key: affinity key
-    :ivar entry: its OpenReservation, if tokens are set aside
-    :ivar next_entry: the OpenReservation of a run that may follow, or None
-    :ivar retry_taken: whether the allowance of a run that may follow is taken
+    :ivar reservation: its OpenReservation, or None
+    :ivar next_reservation: the OpenReservation of a possible retry, or None
+    :ivar retry_acquired: whether a retry was taken from the retry budget
     :ivar stall_policy: the Patience asked whether to abandon a stalled run
-    :ivar run: run id as the upstream names it, once known
-    :ivar claim: run id under which it was claimed, if it was
-    :ivar sent: whether a byte of the answer went out
-    :ivar arrived: steady time of its arrival
-    :ivar pauses: pauses of the process before it arrived
+    :ivar run: run id that the upstream assigned, empty until it is known
+    :ivar claim: run id by which the request is claimed, empty if it is not
+    :ivar sent: whether part of the answer was sent
+    :ivar arrived: monotonic time of its arrival
+    :ivar pauses: number of pauses of the process before it arrived
     """
 
     __slots__ = (
@@ -50,9 +51,9 @@
         "cost",
         "size",
         "key",
-        "entry",
-        "next_entry",
-        "retry_taken",
+        "reservation",
+        "next_reservation",
+        "retry_acquired",
         "stall_policy",
         "run",
         "claim",
@@ -68,9 +69,9 @@
         self.cost = cost
         self.size = size
         self.key = key
-        self.entry = None
-        self.next_entry = None
-        self.retry_taken = False
+        self.reservation = None
+        self.next_reservation = None
+        self.retry_acquired = False
         self.stall_policy = NO_PATIENCE
         self.run = ""
         self.claim = ""
@@ -82,42 +83,44 @@
 class Runner(abc.ABC):
     """Runs jobs of one kind.
 
-    :param router: the Router, for its parts
+    :param router: the Router
     """
 
     def __init__(self, router):
         self._router = router
         self._tasks = TaskSet()
 
-    # Hooks
+    # To be implemented by subclasses
 
     @abc.abstractmethod
     async def attempt(self, job, upstream, responder):
         """Make one run, answer the caller, return the tokens consumed.
 
-        :raises UpstreamError: the run failed; ``started`` says how far
+        :raises UpstreamError: the run failed; ``started`` says whether it may
+            have run
         """
 
     @abc.abstractmethod
-    async def attach(self, job, claimed, responder):
-        """Answer a second try of a claimed request, without running it.
+    async def answer_duplicate(self, job, claimed, responder):
+        """Answer a duplicate of a claimed request without running it.
 
-        :raises RequestError: its answer cannot be had
+        :param claimed: the Claimed message of the first attempt
+        :raises RequestError: the answer is not available
         """
 
     @abc.abstractmethod
-    async def consumed(self, job, address):
-        """End a failed run and return ``(run, tokens)`` for its bill.
+    async def end_run(self, job, address):
+        """End a failed run and return ``(run id, tokens)`` for its bill.
 
-        :raises UpstreamError: the upstream does not say
+        :raises UpstreamError: the upstream failed to answer
         """
 
-    # The way of a request
+    # Processing of a request
 
     def decide(self, call, facts):
         """Return the policy's Decision.
 
-        :raises RequestError: it refused or failed
+        :raises RequestError: the policy refused the request or failed
         """
         try:
             decision = self._router.config.snapshot.policy.decide(facts)
@@ -129,12 +132,16 @@
         return decision
 
     async def run(self, job, responder):
-        """Serve a job from its decision to its bill."""
+        """Serve a job from the policy's decision to the bill.
+
+        :raises RequestError: it cannot be served
+        """
         call = job.call
-        if not call.repeatable and call.made_elsewhere:
+        if not call.repeatable and call.reuses_generated_key:
             raise RequestError(
                 ErrorKind.ALREADY_CLAIMED,
-                "this key was made for an earlier try, which may have run",
+                "this key was generated for an earlier attempt, which may"
+                " have run",
             )
         limits = self._router.limits
         limits.acquire(call.organisation, self._router.clock.steady())
@@ -155,7 +162,7 @@
             except UpstreamError as error:
                 if not self._may_retry(job, group, error):
                     self._release_run(job)
-                    raise _as_request_error(error) from None
+                    raise _to_request_error(error) from None
                 self._router.metrics.retries.inc({"group": job.decision.group})
 
     def _may_retry(self, job, group, error):
@@ -163,7 +170,7 @@
             return False
         if error.started and not job.call.repeatable:
             return False
-        taken, job.retry_taken = job.retry_taken, False
+        taken, job.retry_acquired = job.retry_acquired, False
         return taken or group.retries.acquire()
 
     async def _run_once(self, job, group, tried, responder):
@@ -184,7 +191,7 @@
         if claimed is not None:
             group.release(upstream, 0, 0.0, failed=False)
             self._release(job)
-            return await self.attach(job, claimed, responder)
+            return await self.answer_duplicate(job, claimed, responder)
         tried.add(upstream.address)
         await self._attempt(job, group, upstream, responder)
 
@@ -192,7 +199,7 @@
         begun = self._router.clock.steady()
         failed = True
         try:
-            self._check_not_frozen(job)
+            self._check_not_paused(job)
             tokens = await self.attempt(job, upstream, responder)
             failed = False
             self._settle(job, job.run, tokens)
@@ -201,80 +208,88 @@
             self._router.metrics.upstream_failures.inc(
                 {"group": job.decision.group}
             )
-            # A run that surely did not start leaves reservation and claim
-            # to the next try.
+            # A run that certainly did not start leaves its reservation and
+            # claim to the next attempt.
             if error.started:
-                self._close(job, upstream.address)
+                self._end_in_background(job, upstream.address)
             raise
         except RequestError:
             failed = False
             self._release_run(job)
             raise
         except BaseException:
-            # The caller went away, or the router is being ended.
+            # The caller disconnected, or the router is shutting down.
             failed = False
-            self._close(job, upstream.address)
+            self._end_in_background(job, upstream.address)
             raise
         finally:
             seconds = self._router.clock.steady() - begun
             group.release(upstream, job.size, seconds, failed)
 
-    def _check_not_frozen(self, job):
-        """Refuse a job whose process slept since it arrived.
+    def _check_not_paused(self, job):
+        """Refuse a job if the process was paused since its arrival.
+
+        Other routers may have resolved its reservation meanwhile.
 
-        Others may have resolved its reservation in the meantime.
+        :raises RequestError: there was a pause, or the deadline has passed
         """
         if self._router.pauses.count() != job.pauses:
             raise RequestError(ErrorKind.NOT_READY, "the router was paused")
         if self._router.clock.wall() >= job.call.deadline:
-            raise RequestError(ErrorKind.DEADLINE_PASSED, "too late to start")
+            raise RequestError(
+                ErrorKind.DEADLINE_PASSED, "the deadline passed before the run"
+            )
 
-    # Reservation and bill
+    # Reservation and settlement
 
     async def _reserve(self, job):
-        if job.cost == 0 or job.entry is not None:
+        if job.cost == 0 or job.reservation is not None:
             return
-        if job.next_entry is not None:
-            job.entry, job.next_entry = job.next_entry, None
+        if job.next_reservation is not None:
+            job.reservation, job.next_reservation = job.next_reservation, None
             return
         call = job.call
         begun = self._router.clock.steady()
-        job.entry = await self._router.ledger.reserve(
+        job.reservation = await self._router.ledger.reserve(
             call.request, call.budget, job.cost, call.deadline
         )
         seconds = self._router.clock.steady() - begun
         self._router.metrics.reserve.observe({}, seconds)
 
     async def _start(self, job, upstream):
-        """Have the start of a run recorded before it is sent.
+        """Have the start of a run recorded before the request is sent.
+
+        A reservation whose start is not recorded by its home or witness was
+        released, or may be, and is replaced by a new one.
 
-        A reservation whose home or witness does not record it was given back,
-        or may be: another one takes its place.
+        :raises RequestError: no attempt was recorded
         """
-        if job.entry is None:
+        if job.reservation is None:
             return
         begun = self._router.clock.steady()
-        for _try in range(START_TRIES):
-            if await self._router.ledger.start(job.entry, upstream.address):
+        for _attempt_number in range(START_ATTEMPTS):
+            if await self._router.ledger.start(
+                job.reservation, upstream.address
+            ):
                 seconds = self._router.clock.steady() - begun
                 self._router.metrics.start.observe({}, seconds)
                 return
             self._release(job)
             await self._reserve(job)
         raise RequestError(
-            ErrorKind.BUDGET_UNAVAILABLE, "no home records the start"
+            ErrorKind.BUDGET_UNAVAILABLE, "no home recorded the run's start"
         )
 
     def _release_next(self, job):
-        """Give back what was set aside for a run that did not follow."""
-        if job.next_entry is not None:
-            self._router.ledger.release(job.next_entry.reservation)
-            job.next_entry = None
+        """Release the reservation of a retry that was not made."""
+        if job.next_reservation is not None:
+            self._router.ledger.release(job.next_reservation.reservation)
+            job.next_reservation = None
 
     def _release(self, job):
-        if job.entry is not None:
-            self._router.ledger.release(job.entry.reservation)
-            job.entry = None
+        if job.reservation is not None:
+            self._router.ledger.release(job.reservation.reservation)
+            job.reservation = None
 
     def _release_run(self, job):
         self._release(job)
@@ -283,37 +298,37 @@
             job.claim = ""
 
     def _settle(self, job, run, tokens):
-        if job.entry is None:
+        if job.reservation is None:
             return
-        entry = job.entry
-        job.entry = None
-        run = run or entry.reservation
-        self._router.ledger.settle(entry.reservation, run, tokens)
+        reservation = job.reservation
+        job.reservation = None
+        run = run or reservation.reservation
+        self._router.ledger.settle(reservation.reservation, run, tokens)
         self._router.metrics.billed_tokens.add({}, tokens)
 
-    def _close(self, job, address):
-        """End a run that broke off, and bill it, in the background."""
-        closing = copy.copy(job)
-        job.entry = None
-        self._tasks.spawn(self._close_run(closing, address))
+    def _end_in_background(self, job, address):
+        """End and bill an interrupted run in the background."""
+        failed_job = copy.copy(job)
+        job.reservation = None
+        self._tasks.spawn(self._end_failed_run(failed_job, address))
 
-    async def _close_run(self, job, address):
-        for _try in range(CLOSE_TRIES):
+    async def _end_failed_run(self, job, address):
+        for _attempt_number in range(END_RUN_ATTEMPTS):
             try:
-                run, tokens = await self.consumed(job, address)
+                run, tokens = await self.end_run(job, address)
             except UpstreamError:
-                await asyncio.sleep(CLOSE_PAUSE)
+                await asyncio.sleep(END_RUN_PAUSE)
                 continue
             self._settle(job, run or job.run, tokens)
             break
         else:
-            # Nobody can say what it consumed: presume the worst case.
+            # The consumption is unknown: bill the worst case.
             self._settle(job, job.run, job.cost)
         self._end_claim(job)
 
     @property
-    def closing(self):
-        """Return how many runs are still being ended."""
+    def ending_runs(self):
+        """Return the number of runs that are being ended."""
         return len(self._tasks)
 
     # Claims
@@ -321,14 +336,15 @@
     async def _claim(self, job, upstream):
         """Claim a job that is not repeatable, before it starts.
 
-        :returns: the Claimed answer if an earlier try holds the claim
+        :returns: the Claimed message if an earlier attempt holds the claim,
+            None if the job may run
         """
         call = job.call
         if call.repeatable or job.claim:
             return None
-        if call.key_made:
-            # Nobody else can know this key yet, so this is the only try;
-            # a later one with the same key is refused by its prefix.
+        if call.key_generated:
+            # No one else knows this key yet, so this is the only attempt; a
+            # later one with the same key is refused because of its prefix.
             return None
         run = new_id()
         claimed = await self._router.claims.claim(call, run, upstream.address)
@@ -347,19 +363,20 @@
             self._router.claims.end(job.call.request, job.claim)
 
 
-def refuse_second_try(claimed):
-    """Raise the RequestError for a second try without an answer."""
-    state = "is under way" if claimed.state == CLAIMED else "has ended"
+def refuse_duplicate(claimed):
+    """Raise the RequestError for a duplicate whose answer is not available."""
+    state = "is running" if claimed.state == CLAIMED else "has ended"
     raise RequestError(
-        ErrorKind.ALREADY_CLAIMED, f"an earlier try of this request {state}"
+        ErrorKind.ALREADY_CLAIMED,
+        f"an earlier attempt of this request {state}",
     )
 
 
-def _as_request_error(error):
+def _to_request_error(error):
     if error.started:
         return RequestError(ErrorKind.UPSTREAM_FAILED, "the upstream failed")
     return RequestError(
         ErrorKind.UPSTREAM_REFUSED,
-        "no upstream took it",
+        "no upstream accepted the request",
         Outcome.NOT_RUN,
     )
--- a/rowanport/router/service.py
+++ b/rowanport/router/service.py
@@ -1,11 +1,11 @@
-"""Plain services: ``/services/GROUP/PATH`` goes to ``/PATH`` there."""
+"""Plain services: ``/services/GROUP/PATH`` is forwarded to ``/PATH``."""
 
 from ..errors import ErrorKind
 from ..errors import Outcome
 from ..errors import RequestError
 from .answers import answer_headers
 from .runner import Job
-from .runner import refuse_second_try
+from .runner import refuse_duplicate
 from .runner import Runner
 
 PREFIX = "/services/"
@@ -13,7 +13,13 @@
 
 
 class _Target:
-    """What is asked of a plain service."""
+    """A request to a plain service.
+
+    :ivar method: HTTP method
+    :ivar path: path at the service
+    :ivar body: bytes
+    :ivar kind: content type
+    """
 
     __slots__ = ("method", "path", "body", "kind")
 
@@ -25,20 +31,27 @@
 
 
 class ServiceRunner(Runner):
-    """Runs calls of plain services."""
+    """Runs requests to plain services.
+
+    :param router: the Router
+    :param services: a ServiceClient
+    """
 
     def __init__(self, router, services):
         super().__init__(router)
         self._services = services
 
     def make_job(self, call, request, arrived):
-        """Return the Job of a call.
+        """Return the Job of a request to a service.
 
-        :raises RequestError: it is malformed or refused by policy
+        :param call: the Call
+        :param request: the HttpRequest
+        :param arrived: monotonic time of its arrival
+        :raises RequestError: the request is malformed or refused by policy
         """
         name, _, path = request.path[len(PREFIX) :].partition("/")
         if request.method not in METHODS:
-            raise RequestError(ErrorKind.MALFORMED, "method not passed on")
+            raise RequestError(ErrorKind.MALFORMED, "unsupported method")
         group = self._router.service_group(name)
         cost = group.call_cost
         facts = self._router.facts(call, group.name, cost, len(request.body))
@@ -67,9 +80,9 @@
         await responder.reply(reply.status, reply.body, headers, reply.kind)
         return job.cost
 
-    async def attach(self, job, claimed, responder):
-        refuse_second_try(claimed)
+    async def answer_duplicate(self, job, claimed, responder):
+        refuse_duplicate(claimed)
 
-    async def consumed(self, job, address):
-        # A call that may have run is billed its fixed cost.
+    async def end_run(self, job, address):
+        # A request that may have run is billed the fixed cost of a call.
         return "", job.cost
--- a/rowanport/router/stall_policy.py
+++ b/rowanport/router/stall_policy.py
@@ -1,19 +1,19 @@
-"""Decides what follows when an upstream falls silent within an answer."""
+"""Whether to abandon a run whose upstream has stalled."""
 
 from ..errors import RequestError
 from ..web.patience import Patience
 
 
 class RunStallPolicy(Patience):
-    """Keeps a silent run until another one is sure to take its place.
+    """Keeps a stalled run until a replacement is certain to be possible.
 
-    A run that is let go before that is lost to its caller, though it may only
-    pause: an upstream's silence is no failure.
+    A stall is not a failure: the upstream may only pause.  A run abandoned
+    without a replacement would be lost to its caller.
 
-    :param router: the Router, for its parts
+    :param router: the Router
     :param job: the Job
     :param group: its GroupScheduler
-    :param tried: addresses of upstreams that it was sent to
+    :param tried: addresses of upstreams that the job was sent to
     """
 
     def __init__(self, router, job, group, tried):
@@ -27,9 +27,10 @@
         return self._router.clock.wall() >= self._job.call.deadline
 
     async def give_up(self):
-        """Return whether the run is let go; take what the next one needs.
+        """Return whether to abandon the run; acquire what a retry needs.
 
-        Past the caller's deadline nothing follows, but nobody waits either.
+        After the caller's deadline the run is abandoned without a retry, as
+        no one waits for its answer.
         """
         if self._deadline_passed:
             return True
@@ -38,27 +39,27 @@
             return False
         if self._group.pool.choose(job.key, self._tried) is None:
             return False
-        # Tokens are set aside last but one: without an allowance they would
-        # lie idle until the silent run ends.
-        if not job.retry_taken and not self._group.retries.allows_retry:
+        # The retry budget is checked before tokens are reserved: without a
+        # retry they would stay reserved unused until the stalled run ends.
+        if not job.retry_acquired and not self._group.retries.allows_retry:
             return False
-        return await self._take_tokens() and self._take_allowance()
+        return await self._reserve_tokens() and self._acquire_retry()
 
-    async def _take_tokens(self):
-        """Return whether the tokens of another run are set aside."""
+    async def _reserve_tokens(self):
+        """Return whether the tokens of another run are reserved."""
         job, call = self._job, self._job.call
-        if job.cost == 0 or job.next_entry is not None:
+        if job.cost == 0 or job.next_reservation is not None:
             return True
         try:
-            job.next_entry = await self._router.ledger.reserve(
+            job.next_reservation = await self._router.ledger.reserve(
                 call.request, call.budget, job.cost, call.deadline
             )
         except RequestError:
             return False
         return True
 
-    def _take_allowance(self):
+    def _acquire_retry(self):
         job = self._job
-        if not job.retry_taken:
-            job.retry_taken = self._group.retries.acquire()
-        return job.retry_taken
+        if not job.retry_acquired:
+            job.retry_acquired = self._group.retries.acquire()
+        return job.retry_acquired
--- a/test/test_stall_policy.py
+++ b/test/test_stall_policy.py
@@ -40,7 +40,10 @@
 def test_it_is_let_go_once_all_that_another_run_needs_is_taken():
     run = SilentRun()
     assert run.gives_up()
-    assert (run.job.next_entry, run.job.retry_taken) == ("entry", True)
+    assert (run.job.next_reservation, run.job.retry_acquired) == (
+        "entry",
+        True,
+    )
 
 
 def test_what_another_run_needs_is_taken_once_however_often_it_is_asked():
@@ -75,7 +78,7 @@
     error = RequestError(ErrorKind.BUDGET_EXHAUSTED)
     run.router.ledger.reserve.side_effect = error
     assert not run.gives_up()
-    assert not run.job.retry_taken
+    assert not run.job.retry_acquired
 
 
 def test_without_an_allowance_no_tokens_are_set_aside():
@@ -94,14 +97,14 @@
 
 def test_what_was_set_aside_for_a_run_that_did_not_follow_is_given_back():
     run = SilentRun()
-    run.job.next_entry = mock.MagicMock(reservation="r1")
+    run.job.next_reservation = mock.MagicMock(reservation="r1")
 
     class AnswersAtOnce(Runner):
         async def _run_attempts(self, _job, _responder):
             """The silent run went on after all."""
 
-        attempt = attach = consumed = None
+        attempt = answer_duplicate = end_run = None
 
     asyncio.run(AnswersAtOnce(run.router).run(run.job, None))
     run.router.ledger.release.assert_called_once_with("r1")
-    assert run.job.next_entry is None
+    assert run.job.next_reservation is None
