--- a/test/test_scheduling.py
+++ b/test/test_scheduling.py
@@ -1,4 +1,4 @@
-"""Queues, fairness, limits and the choice of upstreams."""
+"""Queueing, fairness, limits and the selection of upstreams."""
 
 import collections
 
@@ -21,6 +21,7 @@
 
 
 def ticket(priority=1, organisation="a", deadline=100.0, cost=10, weight=1):
+    """Return a Ticket; ``grant`` lists the errors that it is refused with."""
     refused = []
     made = Ticket(
         priority,
@@ -41,6 +42,7 @@
 
 
 def drain(lane):
+    """Return the tickets of a lane in the order in which they are served."""
     order = []
     while (one := lane.next()) is not None:
         order.append(one)
@@ -75,7 +77,7 @@
     assert first["heavy"] == pytest.approx(40, abs=1)
 
 
-def test_what_cannot_make_its_deadline_is_refused_on_arrival(clock):
+def test_a_ticket_that_cannot_meet_its_deadline_is_refused_on_arrival(clock):
     lane = Lane(100, clock)
     lane.finished(size=10, seconds=5.0)
     lane.enter(ticket(deadline=5.5), 1)
@@ -85,7 +87,7 @@
     lane.enter(ticket(deadline=10.5), 1)
 
 
-def test_a_full_lane_sheds_the_least_urgent(clock):
+def test_a_full_lane_evicts_the_least_urgent(clock):
     lane = Lane(2, clock)
     summary, label = ticket(5), ticket(1)
     lane.enter(summary, 1)
@@ -98,7 +100,7 @@
     assert drain(lane) == [bulletin, label]
 
 
-def test_what_waited_too_long_is_refused_when_its_turn_comes(clock):
+def test_a_ticket_past_its_deadline_is_refused_when_it_is_next(clock):
     lane = Lane(10, clock)
     old = ticket(deadline=3.0)
     lane.enter(old, 1)
@@ -107,7 +109,7 @@
     assert [error.kind for error in old.grant] == [ErrorKind.DEADLINE_PASSED]
 
 
-def test_less_urgent_work_is_refused_once_urgent_work_takes_its_turn(clock):
+def test_less_urgent_work_is_refused_once_urgent_work_delays_it(clock):
     lane = Lane(1000, clock)
     lane.finished(size=10, seconds=1.0)
     summary = ticket(5, deadline=20.0)
@@ -117,7 +119,8 @@
         lane.enter(ticket(0, deadline=90.0), 1)
     lane.shed(1)
     assert [error.kind for error in summary.grant] == [ErrorKind.OVERLOADED]
-    # A new one is refused on arrival, however short the queue before it.
+    # Urgent work arrived at a high rate until now, so that a new ticket is
+    # refused on arrival although the queue before it is short.
     drain(lane)
     lane.enter(ticket(5, deadline=60.0), 1)
     with pytest.raises(RequestError):
@@ -162,7 +165,7 @@
     assert len(tickets) + turned_away == len(arrivals)
 
 
-def test_times_by_size_have_a_fixed_and_a_growing_part():
+def test_run_time_has_a_fixed_part_and_one_that_grows_with_size():
     estimate = LinearEstimate(0.02)
     assert estimate.at(10) == 0.0
     for size in (4, 40, 160, 4, 40, 160):
@@ -192,7 +195,7 @@
     assert sum(budget.acquire() for _number in range(50)) == 2
 
 
-# Choice
+# Selection of upstreams
 
 
 def make_pool(clock, count=4, capacity=8):
@@ -207,7 +210,7 @@
     return pool
 
 
-def test_a_prefix_stays_with_its_upstream_until_that_has_its_share(clock):
+def test_a_prefix_stays_with_its_upstream_up_to_the_load_bound(clock):
     pool = make_pool(clock)
     first = pool.choose("prefix")
     assert pool.choose("prefix") is first
@@ -218,7 +221,7 @@
     assert max(used) <= 3
 
 
-def test_a_leaving_upstream_gets_nothing_new_and_a_full_one_neither(clock):
+def test_leaving_and_full_upstreams_get_no_new_requests(clock):
     pool = make_pool(clock, count=2, capacity=1)
     first = pool.choose("key")
     pool.started(first)
@@ -232,7 +235,7 @@
     assert pool.choose("key") is None
 
 
-def test_a_failing_upstream_is_ejected_but_never_more_than_half(clock):
+def test_a_failing_upstream_is_ejected_unless_more_than_half_fail(clock):
     pool = make_pool(clock, count=2)
     one, other = pool.upstreams()
     for upstream in (one, other):
