--- a/test/test_membership.py
+++ b/test/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership: who is alive, who is home, and what it costs."""
+"""Membership: live routers, homes, delegates, and the cost of gossip."""
 
 import asyncio
 from unittest import mock
@@ -26,7 +26,11 @@
 
 
 class Cell:
-    """Routers that gossip over a perfect network, by given time."""
+    """Routers that gossip over a perfect network, with a ManualClock.
+
+    :ivar members: Membership by address
+    :ivar bytes: size of all messages sent
+    """
 
     def __init__(self, count):
         self.clock = ManualClock(0.0)
@@ -67,10 +71,9 @@
 @pytest.mark.parametrize(
     "error, gone", ((PeerGone("refused"), True), (PeerError("silent"), False))
 )
-def test_a_router_whose_process_has_ended_is_taken_for_dead_at_once(
-    error, gone
-):
-    # Its runs stayed unsettled until its heartbeats were missed, 8 s later.
+def test_a_router_whose_process_has_ended_is_dead_at_once(error, gone):
+    # Otherwise its runs stay unsettled until its heartbeats are missed 8 s
+    # later.
     cell = Cell(2)
     cell.run(2)
     one, other = cell.members.values()
@@ -101,7 +104,7 @@
 
 
 @pytest.mark.parametrize("count", (2, 4, 8, 16, 35))
-def test_all_see_all_and_agree_on_homes(count):
+def test_all_routers_see_each_other_and_agree_on_homes(count):
     cell = Cell(count)
     cell.run()
     for _number in range(100):
@@ -114,7 +117,7 @@
         assert len(homes) == 1
 
 
-def test_bytes_a_router_do_not_grow_with_the_cell():
+def test_sent_bytes_of_a_router_do_not_grow_with_the_cell():
     rates = {}
     for count in (16, 35, 70):
         cell = Cell(count)
@@ -128,20 +131,20 @@
 
 
 class CountingClock(ManualClock):
-    """Given time that counts how often it is asked for."""
+    """A ManualClock that counts the reads of its monotonic time."""
 
     def __init__(self, now):
         super().__init__(now)
-        self.asked = 0
+        self.reads = 0
 
     def steady(self):
-        self.asked += 1
+        self.reads += 1
         return super().steady()
 
 
-def test_who_lives_is_not_worked_out_anew_each_time_that_somebody_asks():
-    # Each question went over all routers and asked the time for each of them:
-    # at 195 routers this was most of what a router did in its first seconds.
+def test_live_members_are_cached_between_calls():
+    # Each call went through all routers and read the clock for each of them:
+    # at 195 routers this was most of a router's work in its first seconds.
     cell = Cell(60)
     cell.run()
     observer = cell.members["10.0.0.0:1"]
@@ -150,7 +153,7 @@
         assert len(observer.live()) == 60
         assert len(observer.live_peers()) == 59
         assert len(observer.ready_peers()) == 59
-    assert clock.asked < 3 * 60
+    assert clock.reads < 3 * 60
 
 
 def test_the_same_fleet_has_the_same_list_of_delegates():
@@ -172,21 +175,21 @@
     assert len(observer.live()) == 6
 
 
-def test_a_silent_router_loses_its_shards_and_gets_them_back():
+def test_an_unresponsive_router_loses_its_shards_and_gets_them_back():
     cell = Cell(4)
     cell.run()
-    silent = "10.0.0.2:1"
-    name = cell.members[silent].own_entry.incarnation
+    unresponsive = "10.0.0.2:1"
+    name = cell.members[unresponsive].own_entry.incarnation
     observer = cell.members["10.0.0.0:1"]
     assert observer.is_alive(name)
-    cell.run(10, frozen=(silent,))
+    cell.run(10, frozen=(unresponsive,))
     assert not observer.is_alive(name)
     assert name not in {observer.home(shard) for shard in range(16)}
     cell.run(10)
     assert observer.is_alive(name)
 
 
-def test_a_suspected_router_counts_again_at_its_next_heartbeat():
+def test_a_suspected_router_is_alive_at_its_next_heartbeat():
     cell = Cell(3)
     cell.run()
     observer = cell.members["10.0.0.0:1"]
@@ -197,7 +200,7 @@
     assert observer.is_alive(name)
 
 
-def test_a_leaving_router_is_home_to_nothing_but_may_still_settle():
+def test_a_leaving_router_is_no_home_but_may_still_settle():
     cell = Cell(3)
     cell.run()
     leaving = cell.members["10.0.0.1:1"]
@@ -225,8 +228,8 @@
 
 
 def test_an_early_list_does_not_replace_the_seeds():
-    # Found on the bench: the first read of the list, still empty, made every
-    # router of 86 forget whom to ask, for ten seconds.
+    # Found in a benchmark: the first read of the list, still empty, replaced
+    # the seeds at each of 86 routers, so that they knew no peer for 10 s.
     cell = Cell(0)
     one = cell.add(1)
     one.set_seeds(["10.0.0.0:1"])
@@ -238,8 +241,9 @@
 
 
 def test_all_name_the_same_delegates_and_keep_them():
-    # Found on the bench: at 86 routers each doubted others in turn, so who
-    # draws on a budget changed by the second, and tokens went to and fro.
+    # Found in a benchmark: 86 routers suspected each other in turn, so that
+    # the routers that draw on a budget changed every second and tokens were
+    # moved back and forth.
     cell = Cell(86)
     cell.run(30)
     chosen = delegates(cell)
@@ -275,18 +279,18 @@
     assert leaving not in cell.members[leaving].delegates("work", 4, 0.1)
 
 
-def listed_by(cell, count):
-    """Return the addresses of those that do something for a whole cell."""
+def first_delegates(cell, count):
+    """Return the delegates that the first router of a cell chooses."""
     return cell.members["10.0.0.0:1"].delegates("work", count, 0.1)
 
 
-def test_a_router_that_just_started_names_those_that_were_listed():
-    # After a loss of power of 23 routers each took itself for alone in the
-    # first moments, and drew tokens for itself: 93 calls of the store in half
-    # a second, and 46 more to give them back 3 s later.
+def test_a_restarted_fleet_keeps_its_listed_delegates():
+    # After a power loss each of 23 routers took itself for the only one at
+    # first, and drew tokens for itself: 93 store calls in half a second, and
+    # 46 more to return the tokens 3 s later.
     before = Cell(23)
     before.run(20)
-    listed = listed_by(before, 8)
+    listed = first_delegates(before, 8)
     after = Cell(0)
     for number in range(23):
         one = after.add(number)
@@ -301,10 +305,10 @@
     assert first.delegates("work", 4, 0.02) == listed[:4]
 
 
-def test_a_listed_router_that_never_speaks_is_no_delegate_for_long():
+def test_a_listed_router_without_heartbeats_is_no_delegate_for_long():
     cell = Cell(4)
     dead = [f"10.0.0.{number}:1" for number in range(90, 99)]
     for one in cell.members.values():
         one.set_listed(dead)
     cell.run(30)
-    assert set(listed_by(cell, 8)) == set(cell.members)
+    assert set(first_delegates(cell, 8)) == set(cell.members)
