--- a/test/test_stall_policy.py
+++ b/test/test_stall_policy.py
@@ -1,4 +1,4 @@
-"""When the own interface lets a silent run go: only once another is sure."""
+"""RunStallPolicy abandons a stalled run only if a retry is certain."""
 
 import asyncio
 from unittest import mock
@@ -13,11 +13,8 @@
 COST = 100
 
 
-class SilentRun:
-    """A job whose upstream is silent, and what its stall policy asks for.
-
-    :ivar other: the upstream that another run may go to, or None
-    """
+class StalledRun:
+    """A job whose upstream has stalled, with mocks of what its policy uses."""
 
     def __init__(self, **call):
         fields = {"repeatable": True, "deadline": 60.0, **call}
@@ -25,86 +22,87 @@
         self.job = Job(self.call, {}, None, COST, 1, "key", 0.0, 0)
         self.router = mock.MagicMock()
         self.router.clock.wall.return_value = 10.0
-        self.router.ledger.reserve = mock.AsyncMock(return_value="entry")
+        self.router.ledger.reserve = mock.AsyncMock(return_value="reserved")
         self.group = mock.MagicMock(retries=RetryBudget(0.1))
         self.policy = RunStallPolicy(self.router, self.job, self.group, {"a"})
 
-    def gives_up(self):
+    def is_abandoned(self):
         return asyncio.run(self.policy.give_up())
 
-    def use_allowance(self):
+    def use_up_retries(self):
         while self.group.retries.acquire():
             pass
 
 
-def test_it_is_let_go_once_all_that_another_run_needs_is_taken():
-    run = SilentRun()
-    assert run.gives_up()
+def test_a_run_is_abandoned_once_all_that_a_retry_needs_is_acquired():
+    run = StalledRun()
+    assert run.is_abandoned()
     assert (run.job.next_reservation, run.job.retry_acquired) == (
-        "entry",
+        "reserved",
         True,
     )
 
 
-def test_what_another_run_needs_is_taken_once_however_often_it_is_asked():
-    run = SilentRun()
-    run.gives_up()
-    run.use_allowance()
-    assert run.gives_up()
+def test_what_a_retry_needs_is_acquired_once_over_repeated_stalls():
+    run = StalledRun()
+    run.is_abandoned()
+    run.use_up_retries()
+    assert run.is_abandoned()
     run.router.ledger.reserve.assert_awaited_once()
 
 
 def test_a_run_that_may_not_be_repeated_is_kept():
-    run = SilentRun(repeatable=False)
-    assert not run.gives_up()
+    run = StalledRun(repeatable=False)
+    assert not run.is_abandoned()
     run.router.ledger.reserve.assert_not_awaited()
 
 
-def test_a_run_whose_answer_began_to_go_out_is_kept():
-    run = SilentRun()
+def test_a_run_whose_answer_was_partly_sent_is_kept():
+    run = StalledRun()
     run.job.sent = True
-    assert not run.gives_up()
+    assert not run.is_abandoned()
 
 
-def test_a_run_is_kept_where_no_other_upstream_has_room():
-    run = SilentRun()
+def test_a_run_is_kept_if_no_other_upstream_has_a_free_slot():
+    run = StalledRun()
     run.group.pool.choose.return_value = None
-    assert not run.gives_up()
+    assert not run.is_abandoned()
     run.group.pool.choose.assert_called_with("key", {"a"})
 
 
-def test_a_run_is_kept_where_tokens_for_another_are_lacking():
-    run = SilentRun()
+def test_a_run_is_kept_if_no_tokens_can_be_reserved_for_a_retry():
+    run = StalledRun()
     error = RequestError(ErrorKind.BUDGET_EXHAUSTED)
     run.router.ledger.reserve.side_effect = error
-    assert not run.gives_up()
+    assert not run.is_abandoned()
     assert not run.job.retry_acquired
 
 
-def test_without_an_allowance_no_tokens_are_set_aside():
-    # They would lie idle, and be lacking elsewhere, until the silent run ends.
-    run = SilentRun()
-    run.use_allowance()
-    assert not run.gives_up()
+def test_no_tokens_are_reserved_if_no_retry_is_allowed():
+    # They would stay reserved unused, and be missing for other requests, until
+    # the stalled run ends.
+    run = StalledRun()
+    run.use_up_retries()
+    assert not run.is_abandoned()
     run.router.ledger.reserve.assert_not_awaited()
 
 
-def test_past_its_callers_deadline_a_silence_ends_a_run():
-    run = SilentRun(repeatable=False, deadline=10.0)
-    assert run.gives_up()
+def test_a_stalled_run_is_abandoned_after_its_callers_deadline():
+    run = StalledRun(repeatable=False, deadline=10.0)
+    assert run.is_abandoned()
     run.router.ledger.reserve.assert_not_awaited()
 
 
-def test_what_was_set_aside_for_a_run_that_did_not_follow_is_given_back():
-    run = SilentRun()
+def test_the_reservation_of_a_retry_that_was_not_made_is_released():
+    run = StalledRun()
     run.job.next_reservation = mock.MagicMock(reservation="r1")
 
-    class AnswersAtOnce(Runner):
+    class NoRetryRunner(Runner):
         async def _run_attempts(self, _job, _responder):
-            """The silent run went on after all."""
+            """Answer without a retry: the stalled run went on after all."""
 
         attempt = answer_duplicate = end_run = None
 
-    asyncio.run(AnswersAtOnce(run.router).run(run.job, None))
+    asyncio.run(NoRetryRunner(run.router).run(run.job, None))
     run.router.ledger.release.assert_called_once_with("r1")
     assert run.job.next_reservation is None
--- a/test/test_upstreams.py
+++ b/test/test_upstreams.py
@@ -1,7 +1,7 @@
-"""An engine's answer is taken for whole only if it is, and only if its own.
+"""Engine answers are accepted only if complete and of the own request.
 
-Any answer is cut at any byte, arrives in any pieces, or carries another
-request's event; the oracle is the list of words that were sent.
+Answers are truncated at any byte, split into any pieces, or contain an event
+of another request; the oracle is the list of words that were sent.
 """
 
 import asyncio
@@ -25,7 +25,7 @@
 
 
 class FakeAnswer:
-    """The body of an answer, in pieces."""
+    """An HttpAnswer whose body arrives in given pieces."""
 
     def __init__(self, pieces):
         self._pieces = pieces
@@ -53,7 +53,7 @@
 
 
 def read(pieces):
-    """Return the words of an answer, and whether it was taken for whole."""
+    """Return the words of an answer and whether it was accepted."""
 
     async def run():
         words = []
@@ -88,6 +88,7 @@
     assert read(cut_up(data, sizes)) == ([*words, ""], True)
 
 
+# Checks that an answer truncated at a share of its bytes is rejected.
 def check_cut(words, share):
     data = b"".join(whole_answer(words))
     got, whole = read([data[: int(share * (len(data) - 1))]])
@@ -102,6 +103,7 @@
 
 
 def check_stranger(words, place, run):
+    """Check that an answer with an event of another run is rejected."""
     events = whole_answer(words)
     events[min(place, len(words))] = event("theirs", run)
     _got, whole = read(events)
@@ -118,13 +120,13 @@
     check_stranger([*words, "last"], place + 1, run)
 
 
-def test_an_answer_without_a_whole_time_of_creation_is_not_passed_on():
+def test_an_answer_with_a_malformed_creation_time_is_rejected():
     value = {"id": f"{REQUEST}.boot.0", "created": "yesterday"}
     words, whole = read([b"data: " + json.dumps(value).encode() + b"\n\n"])
     assert (words, whole) == ([], False)
 
 
-# Broken variants: each must be found
+# Deliberately broken variants: the checks above must find each
 
 
 @contextlib.contextmanager
@@ -140,21 +142,21 @@
 
 @contextlib.contextmanager
 def run_not_compared():
-    def careless(self, data):
+    def read_unchecked(self, data):
         chunk = engine.Chunk(json.loads(data))
         if chunk.usage:
             self.usage = chunk.usage
         return chunk
 
-    with mock.patch.object(EngineStream, "_read", careless):
+    with mock.patch.object(EngineStream, "_read", read_unchecked):
         yield
 
 
-def test_the_cuts_find_an_end_that_is_not_awaited():
+def test_truncation_finds_an_end_that_is_not_awaited():
     with end_not_awaited(), pytest.raises(AssertionError):
         fuzz(given(words_of_answers, strategies.floats(0, 1))(check_cut))()
 
 
-def test_the_strangers_find_a_run_that_is_not_compared():
+def test_foreign_events_find_a_run_id_that_is_not_compared():
     with run_not_compared(), pytest.raises(AssertionError):
         check_stranger(["one", "two"], 1, "b" * 32 + ".boot.0")
