--- a/rowanport/ratelimits/__init__.py
+++ b/rowanport/ratelimits/__init__.py
@@ -1,6 +1,7 @@
-"""Rate limits that upstreams name, kept by all routers together.
+"""Rate limits that upstreams report, shared by all routers.
 
-Nothing here waits or sends: the gateway tells what it hears, and asks.
+This package does no I/O.  The gateway passes in what it receives from
+upstreams and peers, and asks for permits.
 """
 
 from .limits import parse_limit
