--- a/test/prepaid_world.py
+++ b/test/prepaid_world.py
@@ -1,7 +1,8 @@
-"""A small world for tests of prepaid budgets: store, network, routers.
+"""Simulated store, network and routers for tests of prepaid budgets.
 
-The routers' own BudgetKeepers run in it, on given time.  The oracle counts
-what requests used, and what they may have used when their router was killed.
+The routers run real BudgetKeepers in virtual time.  The oracle counts the
+tokens that requests used, and those that they may have used when their router
+was killed.
 """
 
 import asyncio
@@ -29,8 +30,8 @@
 BUDGET = "org"
 ADDRESSES = [f"10.0.0.{number}:1" for number in range(1, 5)]
 CALL_TIMEOUT = 1.0
-# Seconds between the two hand-overs of a planned stop, and those that are
-# left for the second one.
+# Seconds between the two handoffs of a planned stop, and seconds left for the
+# second one.
 STOP_LINGER = 2.9
 STOP_RESERVE = 0.8
 FAR = 100000.0
@@ -68,7 +69,7 @@
         fate = world.lease_fates.pop(0) if world.lease_fates else ""
         if fate == "late":
             delay = world.random.uniform(1.0, 6.0)
-            world.unheard.append(lease)
+            world.late_renewals.append(lease)
             world.loop.call_later(delay, world.renew, lease)
         elif not world.renew(lease):
             raise LeaseOver("it has ended")
@@ -82,7 +83,7 @@
         world.writes += 1
         fate = world.next_fate()
         if fate == "late":
-            # Done seconds later, if its condition still holds.
+            # Applied seconds later, if its condition still holds.
             delay = world.random.uniform(1.0, 6.0)
             world.loop.call_later(delay, world.try_apply, writes)
             await asyncio.sleep(CALL_TIMEOUT)
@@ -96,7 +97,7 @@
 
 
 class MachineClock(LoopClock):
-    """The clocks of a machine; the steady one begins anew at a restart."""
+    """A machine's clocks; a restart resets the monotonic clock."""
 
     def __init__(self, world, address):
         super().__init__(world.loop)
@@ -111,7 +112,7 @@
 
 
 class FakePeers:
-    """Calls between routers, with losses and repeats."""
+    """Calls between routers, with lost and repeated messages."""
 
     def __init__(self, world, address):
         self._world = world
@@ -146,7 +147,10 @@
 
 
 class FakeMembers:
-    """Everybody knows who lives; those that leave hold tokens for nobody."""
+    """Membership in which all routers know each other at once.
+
+    Leaving routers are neither ready nor delegates.
+    """
 
     def __init__(self, world, incarnation):
         self._world = world
@@ -212,7 +216,7 @@
         self.spawn(world, self._hear(world))
 
     async def _hear(self, world):
-        """Learn the others' clocks, as views are exchanged."""
+        """Observe the others' clocks, as when views are exchanged."""
         while True:
             for other in world.routers.values():
                 if other is not self:
@@ -221,7 +225,7 @@
 
     def spawn(self, world, coroutine):
         task = world.loop.create_task(coroutine)
-        task.add_done_callback(world.note_end)
+        task.add_done_callback(world.record_failure)
         self.tasks.append(task)
         return task
 
@@ -256,7 +260,7 @@
         self.cuts = set()
         self.fates = []
         self.lease_fates = []
-        self.unheard = []
+        self.late_renewals = []
         self.peer_fates = []
         self.silent = {}
         self.news_delay = 0.0
@@ -281,7 +285,7 @@
 
     @property
     def _store_time(self):
-        """Time as leases count it: they wait while the store is down."""
+        """Time by which leases expire; it stops while the store is down."""
         now = self.loop.now if self._down_since is None else self._down_since
         return now - self._down_total
 
@@ -293,28 +297,32 @@
         return lease
 
     def renew(self, lease):
-        """Let a lease begin anew; return whether it had not ended."""
+        """Renew a lease; return False if it has expired."""
         if self.leases[lease] < self._store_time:
             return False
         self.leases[lease] = self._store_time + self.spans[lease]
         return True
 
     def read(self, key):
-        """Return the Value of a key, unless its lease has ended."""
+        """Return the Value of a key, unless its lease has expired."""
         value, lease = self.values.get(key, (Value(b"", 0), None))
         if lease is not None and self.leases[lease] < self._store_time:
             return Value(b"", 0)
         return value
 
     def read_old(self, key):
-        """Return the Value of a key as it was some time ago."""
+        """Return the Value of a key as a stale read gives it."""
         value = self.read(key)
         born = self.born.get(key, 0.0)
-        is_starting = self.loop.now < born + self.old_answers
-        return Value(b"", 0) if is_starting else value
+        is_new = self.loop.now < born + self.old_answers
+        return Value(b"", 0) if is_new else value
 
     def apply(self, writes):
-        """Do a write if its condition holds; raise StoreConflict if not."""
+        """Apply writes if their conditions hold.
+
+        :raises StoreConflict: a version has changed
+        :raises LeaseOver: a lease has expired
+        """
         for write in writes:
             lease = write.lease
             if lease is not None and self.leases[lease] < self._store_time:
@@ -334,7 +342,7 @@
         return self.revision
 
     def try_apply(self, writes):
-        """Do a late write, or not."""
+        """Apply late writes, unless their conditions fail."""
         try:
             self.apply(writes)
         except (StoreConflict, LeaseOver):
@@ -347,7 +355,7 @@
         return self.peer_fates.pop(0) if self.peer_fates else ""
 
     def silence(self, caller, called):
-        """Return the fate of calls on a connection that may be silent."""
+        """Return the fate of calls on a connection that may be stalled."""
         fate, until = self.silent.get((caller, called), ("", 0.0))
         return fate if self.loop.now < until else ""
 
@@ -359,9 +367,11 @@
             self.routers[address] = FakeRouter(self, address)
 
     def kill(self, address, down, power=False):
-        """End a router at once; start its next run after some seconds.
+        """Kill a router; start its next run after some seconds.
 
-        :param power: whether the machine restarts, with a new steady clock
+        :param down: seconds until the next run
+        :param power: whether the machine restarts, which resets its monotonic
+            clock
         """
         router = self.routers.pop(address, None)
         if router is None:
@@ -370,7 +380,7 @@
         owners = (keeper, keeper._loans, keeper._handoffs)
         for task in router.tasks + [t for o in owners for t in o._tasks]:
             task.cancel()
-        # What was under way may have used all that was set aside for it.
+        # Running requests may have used all tokens reserved for them.
         self.spent += sum(router.open)
         router.open.clear()
         if power:
@@ -387,13 +397,13 @@
         router.spawn(self, self._stop(router))
 
     def is_seen_leaving(self, router):
-        """Return whether others know of a router that it leaves."""
+        """Return whether others know that a router is leaving."""
         return router.leaving and (
             self.loop.now >= router.leaves_at + self.news_delay
         )
 
     def stop_all(self, gap):
-        """Stop all routers as planned, one after the other.
+        """Stop all routers as planned, one after another.
 
         :param gap: seconds between two of them
         """
@@ -410,7 +420,7 @@
             self.kill(router.address, 0.3)
 
     def request(self, address, tokens, used, seconds):
-        """Have a router run a request."""
+        """Send a request to a router."""
         router = self.routers.get(address)
         if router is not None:
             run = self._request(router, tokens, used, seconds)
@@ -430,7 +440,7 @@
         router.keeper.settle(BUDGET, tokens, used, used)
 
     def set_total(self, total):
-        """Change what was paid, and tell the routers one by one."""
+        """Change the total and notify the routers one by one."""
         self.total = total
         self.version += 1
         for router in self.routers.values():
@@ -441,22 +451,22 @@
     # Time and oracle
 
     def advance(self, seconds):
-        """Let time pass."""
+        """Advance the virtual time."""
         self.loop.run_until_complete(asyncio.sleep(seconds))
 
     def heal(self):
-        """End all outages and cuts."""
+        """End all outages and network cuts."""
         self.store_down = False
         self.store_cut.clear()
         self.refused.clear()
         self.cuts.clear()
 
     def under_way(self):
-        """Return the tokens set aside for requests under way."""
+        """Return the tokens reserved for running requests."""
         return sum(sum(router.open) for router in self.routers.values())
 
     def held(self):
-        """Return the tokens that routers hold free."""
+        """Return the available tokens of all routers."""
         return sum(
             account.available
             for router in self.routers.values()
@@ -464,39 +474,40 @@
         )
 
     def check(self):
-        """Assert that no token was used that nobody paid for.
+        """Assert that no more tokens were used than paid for.
 
-        Nor may any loop of a router have failed.
+        Also asserts that no task of a router failed, and that no token exists
+        twice or is counted as spent twice.
         """
         assert not self.failures, f"tasks failed: {self.failures}"
         used = self.spent + self.under_way()
         assert used <= self.total, f"{used} used of {self.total}"
-        about = used + self.held()
+        existing = used + self.held()
         taken = self.taken()
-        assert about <= taken, f"{about} about, {taken} taken"
+        assert existing <= taken, f"{existing} exist, {taken} taken"
         counted = max(self.spent_as_known())
         assert counted <= self.spent, f"{counted} counted of {self.spent}"
 
     def spent_as_known(self):
-        """Return what the store and each router take for surely spent."""
+        """Yield the spent counts of the store and of each router."""
         stored = self.read(BUDGET_PREFIX + BUDGET).data
         yield BudgetRecord.unpack(stored).spent
         for router in self.routers.values():
             yield router.keeper.accounts[BUDGET].known_spent
 
-    def note_end(self, task):
-        """Note a router's task that ended by an error."""
+    def record_failure(self, task):
+        """Record the error of a router's task that failed."""
         if not task.cancelled() and task.exception() is not None:
             self.failures.append(task.exception())
 
     def taken(self):
-        """Return the tokens that the store counts as taken, of all budgets."""
+        """Return the tokens of all budgets that the store counts as taken."""
         keys = [key for key in self.values if key.startswith(BUDGET_PREFIX)]
         records = [BudgetRecord.unpack(self.read(key).data) for key in keys]
         return sum(record.taken for record in records)
 
     def close(self):
-        """End everything."""
+        """Kill all routers and cancel all tasks."""
         for address in list(self.routers):
             self.kill(address, FAR)
         for task in asyncio.all_tasks(self.loop):
@@ -516,11 +527,11 @@
 class SettledFleet:
     """Routers that know each other and have drawn tokens.
 
-    In fleets of more than eight few of them draw.
+    In fleets of more than eight only a few of them draw.
 
     :ivar addresses: peer addresses of all routers
-    :ivar holders: of those that draw on the budget
-    :ivar borrowers: of all others
+    :ivar holders: addresses of those that draw on the budget
+    :ivar borrowers: addresses of all others
     """
 
     def __init__(self, total=100000, seed=1, size=20):
@@ -542,7 +553,7 @@
 
 
 def refusal(world, address, tokens):
-    """Return the RequestError that a request for some tokens ends in."""
+    """Return the RequestError of a request for some tokens."""
     keeper = world.routers[address].keeper
     with pytest.raises(RequestError) as caught:
         world.loop.run_until_complete(keeper.reserve(BUDGET, tokens))
--- a/test/test_prepaid.py
+++ b/test/test_prepaid.py
@@ -1,8 +1,11 @@
 """Prepaid budgets under kills, cuts, outages, lost and late answers.
 
-A state machine drives the routers' own keepers on given time; the oracle in
-test.prepaid_world counts.  Each mechanism has a deliberately broken variant
-that the machine must find, so that the proof is seen to fail.
+A state machine drives real BudgetKeepers in virtual time, checked by the
+oracle in test.prepaid_world.  For each mechanism there is a deliberately
+broken variant that the machine must detect.
+
+The docstrings of the machines stay as they are: Hypothesis derives the seed of
+a run from the source of the class.
 """
 
 import contextlib
@@ -36,7 +39,7 @@
 STEPS = 25
 EXAMPLES = 40
 addresses = strategies.sampled_from(ADDRESSES)
-# Numbers are sampled from fixed lists: hypothesis mixes constants of all
+# Numbers are sampled from fixed lists: Hypothesis mixes constants of all
 # loaded modules into integers, so a run would depend on what else is loaded.
 seeds = strategies.sampled_from(range(1000))
 sizes = strategies.sampled_from((5, 20, 60, 150, 300))
@@ -168,11 +171,11 @@
 
 
 def run_machine(machine, examples, randomise=False):
-    """Run a machine; raise what it finds."""
+    """Run a state machine; raise the error that it finds."""
     machines.run_machine(machine, examples, STEPS, randomise)
 
 
-def test_no_token_is_used_that_nobody_paid_for():
+def test_no_more_tokens_are_used_than_paid_for():
     run_machine(PrepaidMachine, EXAMPLES)
 
 
@@ -180,31 +183,31 @@
 
 
 @contextlib.contextmanager
-def limits_not_kept():
+def limits_ignored():
     with mock.patch.object(Allowances, "headroom", lambda *_: None):
         yield
 
 
 @contextlib.contextmanager
-def recovered_however_late():
+def recovered_at_any_age():
     with mock.patch.object(batches, "process_age", lambda *_: 0.0):
         yield
 
 
 @contextlib.contextmanager
-def machine_recovered_however_late():
+def machine_recovered_at_any_age():
     with mock.patch.object(batches, "machine_age", lambda *_: 0.0):
         yield
 
 
 @contextlib.contextmanager
-def unheard_write_made_anew():
-    finish = BatchWriter._discard_writes
+def uncertain_write_rebuilt():
+    discard = BatchWriter._discard_writes
     write = BatchWriter.write
 
     async def writing(self, *args):
         if self.batch.uncertain:
-            finish(self, self.batch)
+            discard(self, self.batch)
             self.batch.number += 1
         return await write(self, *args)
 
@@ -231,7 +234,7 @@
 
 
 @contextlib.contextmanager
-def given_back_without_debit():
+def returned_without_debit():
     with mock.patch.object(Account, "debit", lambda *_: None):
         yield
 
@@ -239,7 +242,7 @@
 BROKEN = (
     loan_repeated,
     lent_without_debit,
-    given_back_without_debit,
+    returned_without_debit,
 )
 
 
@@ -250,7 +253,7 @@
 
 
 def go_beyond_limits_and_restart(power):
-    """Spend all that is held in an outage, end, and start again."""
+    """Spend all held tokens in an outage, kill all routers, restart."""
     world = World(1, 3000)
     for address in ADDRESSES:
         world.start(address)
@@ -261,7 +264,7 @@
         for address in ADDRESSES:
             world.request(address, 60, 60, 0.1)
         world.advance(0.3)
-    # Far more than what any limit let go is spent: nearly all that was held.
+    # Nearly all held tokens are spent, far more than any limit allows.
     assert world.held() < 60 * len(ADDRESSES)
     for address in ADDRESSES:
         world.kill(address, 0.9, power)
@@ -274,14 +277,14 @@
 @pytest.mark.parametrize(
     "power, broken",
     (
-        (False, recovered_however_late),
-        (True, machine_recovered_however_late),
+        (False, recovered_at_any_age),
+        (True, machine_recovered_at_any_age),
     ),
     ids=("process", "machine"),
 )
 def test_a_run_that_went_beyond_its_limits_recovers_nothing(power, broken):
     go_beyond_limits_and_restart(power)
-    with broken(), pytest.raises(AssertionError, match="about"):
+    with broken(), pytest.raises(AssertionError, match="exist"):
         go_beyond_limits_and_restart(power)
 
 
@@ -296,23 +299,23 @@
         for number in range(count):
             address = ADDRESSES[number % len(ADDRESSES)]
             self.world.request(address, 20, 20, 0.2)
-        # Too short for a new record.
+        # Too short for a new record to be written.
         self.world.advance(0.05)
 
 
-def test_the_machine_of_limits_finds_limits_that_are_not_kept():
+def test_the_limit_machine_finds_limits_that_are_ignored():
     run_machine(LimitMachine, 20)
-    with limits_not_kept(), pytest.raises(AssertionError):
+    with limits_ignored(), pytest.raises(AssertionError):
         run_machine(LimitMachine, 400)
 
 
 def recovered_as_if_younger(record, steady, wall):
-    """Prove an age as the code does, but call it nothing."""
+    """Prove an age as the code does, but return 0 for it."""
     return None if process_age(record, steady, wall) is None else 0.0
 
 
 def outlive_records_and_restart():
-    """Spend what limits let go as they grow, end, and start again."""
+    """Spend what limits allow as they grow, kill all routers, restart."""
     world = World(1, 3000)
     for address in ADDRESSES:
         world.start(address)
@@ -331,12 +334,12 @@
     world.close()
 
 
-def test_what_limits_let_go_as_they_grow_is_not_recovered():
+def test_tokens_allowed_by_growing_limits_are_not_recovered():
     outlive_records_and_restart()
     younger = mock.patch.object(
         batches, "process_age", recovered_as_if_younger
     )
-    with younger, pytest.raises(AssertionError, match="about"):
+    with younger, pytest.raises(AssertionError, match="exist"):
         outlive_records_and_restart()
 
 
@@ -359,9 +362,9 @@
     stop_all = silence = jump = heal = kill = kill_all = None
 
 
-def test_the_machine_of_losses_finds_a_write_made_anew():
+def test_the_loss_machine_finds_a_rebuilt_uncertain_write():
     run_machine(LossMachine, 20)
-    with unheard_write_made_anew(), pytest.raises(AssertionError):
+    with uncertain_write_rebuilt(), pytest.raises(AssertionError):
         run_machine(LossMachine, 400)
 
 
@@ -408,8 +411,8 @@
 
 
 def test_a_router_draws_again_once_others_have_given_back():
-    # Found on the bench: routers that saw a store nearly empty believed so
-    # for good, and went on with what little they had drawn.
+    # Routers that had once seen a nearly empty store never drew more than a
+    # few tokens again, as they kept using that count.
     world = make_world()
     account = world.routers[ADDRESSES[0]].keeper.accounts[BUDGET]
     account.debit(account.available)
@@ -429,7 +432,7 @@
     world.advance(2.0)
     unspent = world.total - world.spent
     assert world.total - world.taken() >= 0.45 * unspent
-    # All that was held is lost; what is left still serves.
+    # All held tokens are lost; those left in the store still serve requests.
     world.store_down = True
     world.advance(HOLD_SECONDS + 1.0)
     for address in ADDRESSES:
@@ -466,19 +469,19 @@
     world.advance(1.0)
     world.stop(ADDRESSES[1])
     world.advance(4.0)
-    # Heirs have what the limits let go; the rest waits for the store, as
-    # nobody can tell the next run otherwise that it went out.
+    # Recipients have what the limits let out.  The rest needs the store: only
+    # a new record can tell the next run that it left.
     handed_over = world.held() - (before - held)
     assert 0.3 * held < handed_over < held
     world.store_down = False
     world.advance(2.0)
-    # What limits let go from the last hand-over to the next run's start.
+    # What limits allow from the last handoff to the start of the next run.
     assert world.taken() - world.held() <= 1.0 * pace
     world.check()
     world.close()
 
 
-def test_a_lowered_total_is_drawn_back():
+def test_tokens_above_a_lowered_total_are_returned():
     world = make_world()
     world.set_total(100)
     world.advance(3.0)
@@ -486,7 +489,7 @@
     world.close()
 
 
-def test_a_dry_budget_costs_no_loop_of_store_calls():
+def test_an_exhausted_budget_causes_no_loop_of_store_calls():
     world = make_world(total=100)
     for _ in range(40):
         for address in ADDRESSES:
@@ -497,26 +500,26 @@
         for address in ADDRESSES:
             world.request(address, 90, 90, 0.01)
         world.advance(0.1)
-    # 5 seconds, four routers: renewed limits and one look at a dry budget.
+    # 5 seconds, four routers: renewed limits and one try to draw.
     assert world.writes - before < 5 * 4 * 4
     world.close()
 
 
 def draw_again(world, address):
-    """Have a router draw tokens, as if it had let go all that it held."""
+    """Make a router draw tokens, as if it had used all that it held."""
     account = world.routers[address].keeper.accounts[BUDGET]
     account.debit(account.available)
 
 
-def test_a_budget_is_called_spent_only_when_all_routers_surely_lack_it():
+def test_a_budget_is_spent_only_when_the_whole_fleet_lacks_tokens():
     world = make_world(1000)
     one, other = ADDRESSES[:2]
     assert refusal(world, one, 1001).kind is ErrorKind.BUDGET_SPENT
-    # Peers tell each other what was spent.
+    # Cut the other router off, as peers exchange their spent counts.
     world.cuts.update(frozenset((other, peer)) for peer in ADDRESSES)
     world.routers[one].keeper.settle(BUDGET, 0, 0, 900)
     assert refusal(world, one, 101).kind is ErrorKind.BUDGET_SPENT
-    # What the other router was not told of may be there.
+    # The other router does not know of the spent tokens and asks to retry.
     assert refusal(world, other, 990).come_back_at is not None
     world.cuts.clear()
     for address in (one, other):
@@ -537,12 +540,12 @@
     world.advance(4.0)
     error = refusal(world, ADDRESSES[0], 1001)
     assert error.kind is ErrorKind.BUDGET_EXHAUSTED
-    # Its tokens come with the store: after 10 s by what the users tell.
+    # Tokens may come once the store is back, after 10 s at the longest.
     assert 4.0 < error.come_back_at - world.loop.now < 10.0
     world.close()
 
 
-def test_an_unheard_batch_counts_what_was_spent_once():
+def test_a_batch_without_an_answer_counts_spent_tokens_once():
     world = make_world(1000)
     keeper = world.routers[ADDRESSES[0]].keeper
     for fate in ("answer lost", "late", ""):
--- a/test/test_prepaid_fleet.py
+++ b/test/test_prepaid_fleet.py
@@ -1,4 +1,4 @@
-"""Who draws and who borrows, in fleets of more than a few routers."""
+"""Which routers draw and which borrow in small and large fleets."""
 
 from test.prepaid_world import ADDRESSES
 from test.prepaid_world import BUDGET
@@ -17,8 +17,8 @@
 
 
 def test_a_router_that_knows_nobody_yet_does_not_draw_for_the_whole_fleet():
-    # Found on the bench: after a loss of power the first router back drew
-    # half of each budget, and the others refused for a second.
+    # After a power failure the first router that was back drew half of each
+    # budget, and the others refused requests for a second.
     world = World(1, 10000)
     world.start(ADDRESSES[0])
     world.advance(1.0)
@@ -38,13 +38,13 @@
     assert len(drawn) == HOLDERS
     before = world.writes
     world.advance(10.0)
-    # A record each 0.7 s of those that draw, and nothing of the others.
+    # A holder writes a record each 0.7 s, other routers write nothing.
     assert world.writes - before < 10 * HOLDERS * 1.6
     for address in fleet:
         world.request(address, 100, 100, 0.1)
     world.advance(1.0)
     assert (world.served, world.refusals) == (20, 0)
-    # A stop in an outage hands what was borrowed to a peer too.
+    # A stop during an outage hands off borrowed tokens, too.
     world.store_down = True
     world.stop(next(a for a in fleet if world.routers[a] not in drawn))
     world.advance(6.0)
@@ -53,7 +53,7 @@
 
 
 def test_in_a_small_fleet_every_router_draws():
-    # Each has tokens of its own while it is cut off from all others.
+    # Each has its own tokens while it is cut off from all others.
     world = World(1, 100000)
     fleet = [f"10.0.1.{number}:1" for number in range(SMALL_FLEET)]
     for address in fleet:
@@ -63,9 +63,9 @@
     world.close()
 
 
-def test_a_fleet_does_not_turn_small_for_a_router_that_doubts_the_others():
-    # Cut off for a moment it would have counted every router as a holder, and
-    # the next moment have given back what it drew.
+def test_a_router_that_suspects_all_others_does_not_count_a_small_fleet():
+    # A router that is cut off for a moment would otherwise take every router
+    # for a holder, draw tokens and return them a moment later.
     world = World(1, 100000)
     for number in range(20):
         world.start(f"10.0.1.{number}:1")
@@ -77,8 +77,8 @@
 
 
 def test_a_router_finds_the_holders_of_a_budget_once_for_the_same_fleet():
-    # To order the routers that draw took 50 us a budget at 195 routers, each
-    # time; a router looks at all its budgets several times a second.
+    # Ordering the routers took 50 us a budget in a fleet of 195, and a router
+    # checks all its budgets several times a second.
     world = World(1, 100000)
     for number in range(20):
         world.start(f"10.0.1.{number}:1")
@@ -98,8 +98,8 @@
 
 
 def test_a_lender_passes_on_what_its_borrowers_ask_for():
-    # A lender whose own callers asked for nothing had limits as if nothing
-    # went out: it held tokens, and its borrowers were refused.
+    # The limits of a lender without requests of its own were those of an idle
+    # router: it held tokens, but its borrowers were refused.
     account = Account(BUDGET)
     account.set_total(100000)
     account.credit(30000)
@@ -110,11 +110,11 @@
     assert account.limit_growth(4, 3.0) > 2 * at_rest[1]
 
 
-def test_a_lender_opens_its_limit_for_a_borrower():
-    # Four holders had 7,500 tokens each and limits of 525.  Limits widened for
-    # requests of a lender's own callers only, so borrowers got a few dozen
-    # tokens of each, which helped nobody: three of these eight requests were
-    # refused while the holders had enough for all.
+def test_a_lender_raises_its_limit_for_a_borrower():
+    # Four holders had 7,500 tokens each and limits of 525.  Limits were raised
+    # for the lenders' own requests only, so borrowers got a few dozen tokens
+    # from each: three of these eight requests were refused, though the holders
+    # had enough for all.
     fleet = SettledFleet()
     world, borrowers = fleet.world, fleet.borrowers
     for borrower in borrowers[:8]:
@@ -126,11 +126,10 @@
     world.close()
 
 
-def test_a_borrower_borrows_little_that_it_does_not_need():
-    # Three lenders at a time were asked for the whole of it, and each lent
-    # what it could: what was too much lay with the borrower, where it is lost
-    # in a loss of power.  Beside 48,000 tokens that were used, 24,356 lay
-    # there.
+def test_a_borrower_borrows_few_tokens_that_it_does_not_need():
+    # Borrowers asked three lenders at a time for the whole amount, and each
+    # lent what it could.  The surplus stayed with the borrower, where a power
+    # failure loses it: 24,356 idle tokens beside 48,000 used ones.
     fleet = SettledFleet()
     world, borrowers = fleet.world, fleet.borrowers
     for borrower in borrowers[:8]:
@@ -146,19 +145,19 @@
 
 
 def test_a_borrower_asks_those_that_hold_tokens_before_all_others():
-    # A loan that limits held back at first came only after a dozen routers
-    # that hold nothing had been asked, too late for the waiting request.
+    # If limits held back a loan at first, a dozen routers without tokens were
+    # asked before the holders again, too late for the waiting request.
     fleet = SettledFleet()
     world, holders = fleet.world, fleet.holders
     borrower = fleet.borrowers[0]
     asked = []
     ask = Loans._ask
 
-    def note(lender, account, address, tokens):
+    def record_ask(lender, account, address, tokens):
         asked.append(address)
         return ask(lender, account, address, tokens)
 
-    with mock.patch.object(Loans, "_ask", note):
+    with mock.patch.object(Loans, "_ask", record_ask):
         world.request(borrower, 6000, 3000, 0.1)
         world.advance(0.5)
     assert (world.served, world.refusals) == (1, 0)
@@ -168,8 +167,8 @@
 
 
 def test_a_router_with_much_of_a_budgets_demand_draws_itself():
-    # Found on the bench: one router of 86 passed on half of an organisation's
-    # requests and borrowed for each; peers could not lend fast enough.
+    # One router of 86 received half of an organisation's requests and borrowed
+    # for each of them; its peers could not lend fast enough.
     world = World(1, 100000)
     for number in range(20):
         world.start(f"10.0.1.{number}:1")
@@ -185,7 +184,7 @@
         world.request(busy.address, 400, 400, 0.1)
         world.advance(0.1)
     assert world.served - before >= 9
-    # What it drew goes back to the store once others ask instead.
+    # What it drew goes back to the store once its demand is gone.
     world.heal()
     world.advance(60.0)
     assert not busy.keeper.is_holder(BUDGET)
@@ -195,8 +194,8 @@
 
 
 def test_a_router_that_draws_none_is_served_once_its_lender_has_drawn():
-    # Found in the code: after a loss of power all holders have nothing, and
-    # refused their borrowers until they drew for their own requests.
+    # After a power failure the holders have no tokens.  They refused their
+    # borrowers until they drew for requests of their own.
     world = World(1, 100000)
     fleet = [f"10.0.1.{number}:1" for number in range(20)]
     for address in fleet:
@@ -216,10 +215,10 @@
     return any(a.available > 0 for a in router.keeper.accounts.values())
 
 
-def test_what_a_request_did_not_use_is_there_for_the_next_router():
-    # A request sets aside what it may use at most.  What was left of that lay
-    # with the routers that had borrowed it: 100,798 of the 304,030 tokens of a
-    # budget at 30 of 195 routers, while its requests were refused.
+def test_unused_borrowed_tokens_are_available_to_other_routers():
+    # A request reserves the most that it may use.  The unused rest stayed with
+    # the borrowers: 30 of 195 routers held 100,798 of the 304,030 tokens of a
+    # budget while its requests were refused.
     fleet = SettledFleet()
     world, borrowers = fleet.world, fleet.borrowers
     for borrower in borrowers * 2:
@@ -241,9 +240,9 @@
         self.tokens = tokens
 
 
-def test_who_asks_seldom_borrows_what_is_lacking_and_no_more():
-    # What a second of demand needs was borrowed besides, after a single
-    # request of 9,000 tokens 4,500 more: idle, and soon brought back.
+def test_with_rare_requests_only_the_shortfall_is_borrowed():
+    # Borrowers added a second of demand to each loan.  After a single request
+    # of 9,000 tokens that was 4,500 more, which stayed idle and were returned.
     account = Account(BUDGET)
     account.credit(9000)
     account.record_demand(9000, 10.0)
--- a/test/test_prepaid_limits.py
+++ b/test/test_prepaid_limits.py
@@ -1,4 +1,4 @@
-"""Written limits, the records that hold them, and what they prove."""
+"""Outflow limits, the records that contain them, and what these prove."""
 
 import itertools
 from test.prepaid_world import ADDRESSES
@@ -27,7 +27,7 @@
 from rowanport.store import Value
 
 
-def test_limits_bind_for_their_time_and_let_borrowed_tokens_go():
+def test_limits_lapse_and_do_not_apply_to_borrowed_tokens():
     account = Account(BUDGET)
     account.credit(100)
     allowances = Allowances()
@@ -43,8 +43,8 @@
 
 @pytest.mark.parametrize("power", (False, True), ids=("process", "machine"))
 def test_what_a_batch_draws_does_not_go_beyond_the_limit_in_its_record(power):
-    # Found on the bench (docs/incidents/005): what a record names as drawn
-    # was let out on top of the limit in the same record, until the next one.
+    # Tokens drawn by a batch could leave beyond the limit in the batch's own
+    # record until the next record was written (docs/incidents/005).
     world = World(1, 10000)
     address = ADDRESSES[0]
     for other in ADDRESSES:
@@ -73,7 +73,7 @@
     assert allowances.headroom(account, now) == 40
     assert account.reserve(40, allowances.headroom(account, now), now)
     assert allowances.headroom(account, now) == 0
-    # 20 more are free a second later, all of them once it binds no more.
+    # 20 more may leave a second later, all of them once the limit has lapsed.
     at = allowances.allowed_at(account, 20, now)
     assert now + 1.0 <= at <= now + 1.1
     assert allowances.headroom(account, at) >= 20
@@ -89,10 +89,10 @@
     assert record.unspent(HOLD_SECONDS) == {BUDGET: 990 - grown}
 
 
-def test_a_request_waits_for_a_limit_that_soon_lets_it_go():
-    # Found on the bench: in a cut requests were refused whose tokens were
-    # held and free some tenths of a second later; come back, they were
-    # refused again, as callers wait a third of their time at most.
+def test_a_request_waits_for_a_limit_that_soon_allows_it():
+    # In a cut from the store requests were refused though limits would have
+    # let out their tokens some tenths of a second later.  Their retries were
+    # refused again, as callers wait for a third of their time at most.
     world = make_world()
     keeper = world.routers[ADDRESSES[0]].keeper
     account = keeper.accounts[BUDGET]
@@ -109,7 +109,8 @@
     world.request(ADDRESSES[0], soon, soon, 0.1)
     world.advance(0.6)
     assert (world.served, world.refusals) == (2, 0)
-    # What a limit holds back for long is refused at once, with the time.
+    # If a limit holds tokens back for longer, the request is refused at once,
+    # with the time to retry.
     error = refusal(world, ADDRESSES[0], account.available)
     back = error.come_back_at - world.loop.now
     assert 0.0 < back < HOLD_SECONDS
@@ -117,21 +118,21 @@
     world.close()
 
 
-def test_the_limit_of_an_unheard_write_binds_too():
+def test_the_limit_of_an_uncertain_write_applies_too():
     account = Account(BUDGET)
     account.credit(100)
     allowances = Allowances()
-    heard = Allowance(0.0, {BUDGET: Limit(50)}, {BUDGET: 100})
-    allowances.add(heard)
-    allowances.confirm(heard)
+    confirmed = Allowance(0.0, {BUDGET: Limit(50)}, {BUDGET: 100})
+    allowances.add(confirmed)
+    allowances.confirm(confirmed)
     allowances.add(Allowance(1.0, {BUDGET: Limit(30)}, {BUDGET: 100}))
     assert allowances.headroom(account, 1.5) == 30
-    # The older record's limit has lapsed, the unheard one's has not.
+    # The older record's limit has lapsed, the uncertain one's has not.
     assert allowances.headroom(account, HOLD_SECONDS + 0.5) == 30
     assert allowances.headroom(account, HOLD_SECONDS + 1.5) is None
 
 
-def test_a_record_of_its_own_that_cannot_be_read_stops_no_router():
+def test_a_router_starts_with_an_unreadable_record_of_its_own():
     world = make_world()
     key = batches.HOLDER_PREFIX + ADDRESSES[0]
     world.kill(ADDRESSES[0], 0.5)
@@ -144,25 +145,25 @@
     world.close()
 
 
-def test_a_killed_process_is_proved_by_one_steady_clock():
+def test_the_age_of_a_killed_process_is_proved_by_the_monotonic_clock():
     record = HolderRecord(
         "run", 1, made_at=50.0, wall=1000.0, lapses_at=50.0 + HOLD_SECONDS
     )
     assert process_age(record, 51.0, 1001.0) == 1.0
     late = HOLD_SECONDS + 0.1
     assert process_age(record, 50.0 + late, 1000.0 + late) is None
-    # A steady clock that began anew looks as if little time had passed.
+    # A monotonic clock that was reset makes the record look recent.
     assert process_age(record, 51.0, 1600.0) is None
     assert process_age(record, 2.0, 1600.0) is None
 
 
-def test_a_restarted_machine_is_proved_by_leases_and_clocks_together():
+def test_the_age_of_a_restarted_machine_is_proved_by_leases_and_clocks():
     record = HolderRecord("run", 1, earliest=1000.0, lapses_at=HOLD_SECONDS)
     for shorter, longer in itertools.pairwise(LEASE_SPANS):
-        is_starting, old = 1000.0 + shorter - 0.1, 1000.0 + shorter + 0.1
-        assert machine_age(record, shorter, True, is_starting) == shorter
-        # The longer of what leases say and what clocks say.
-        assert machine_age(record, longer, True, is_starting) == longer
+        recent, old = 1000.0 + shorter - 0.1, 1000.0 + shorter + 0.1
+        assert machine_age(record, shorter, True, recent) == shorter
+        # The larger of the ages by leases and by clocks is returned.
+        assert machine_age(record, longer, True, recent) == longer
         assert machine_age(record, shorter, True, old) == longer
     shortest, longest = LEASE_SPANS[0], LEASE_SPANS[-1]
     assert machine_age(record, None, True, 1001.0) is None
@@ -171,7 +172,7 @@
     assert machine_age(record, shortest, True, 999.0) is None
 
 
-def test_one_clock_that_jumps_does_not_shorten_a_time():
+def test_one_jumping_clock_does_not_shorten_an_elapsed_time():
     world = make_world()
     one, other = (world.routers[address] for address in ADDRESSES[:2])
     world.jumps[ADDRESSES[0]] = 2.4
@@ -186,7 +187,7 @@
     granted = len(world.leases)
     world.advance(4.0)
     assert len(world.leases) == granted
-    # One that ended, as in an outage, is followed by a new one.
+    # A lease that expired, as in an outage, is replaced.
     world.store_down = True
     world.advance(1.0)
     for lease in world.leases:
@@ -199,15 +200,15 @@
     world.close()
 
 
-def test_a_lease_whose_renewal_went_unheard_is_not_used_again():
-    # The late renewal would let it live on after the limits have lapsed.
+def test_a_lease_whose_renewal_has_no_answer_is_not_used_again():
+    # The late renewal may extend the lease beyond the time of the limits.
     world = make_world()
     granted = len(world.leases)
     world.lease_fates = ["late"]
     world.advance(4.0)
-    (unheard,) = world.unheard
+    (late,) = world.late_renewals
     assert len(world.leases) > granted
-    assert unheard not in [lease for _value, lease in world.values.values()]
+    assert late not in [lease for _value, lease in world.values.values()]
     world.check()
     world.close()
 
@@ -224,9 +225,9 @@
 
 
 @pytest.mark.parametrize("down", (0.9, 8.0))
-def test_an_outage_in_which_leases_waited_does_not_shorten_an_age(down):
-    # Leases count but the time in which the store was there, so the clocks
-    # decide: what limits let go in all that time is not recovered.
+def test_an_outage_that_delays_leases_does_not_shorten_an_age(down):
+    # Leases do not expire while the store is down, so the clocks decide: what
+    # limits allow in all that time is not recovered.
     world = make_world()
     router = world.routers[ADDRESSES[0]]
     account = router.keeper.accounts[BUDGET]
@@ -254,10 +255,10 @@
             kind.unpack(data)
 
 
-def test_limits_follow_what_is_used_not_what_is_set_aside():
-    # A request sets aside what it may use at most, and these use a third of
-    # it.  Limits followed what was set aside, so that a loss of power took
-    # three times what a router lets go in the meantime.
+def test_limits_follow_used_tokens_not_reserved_ones():
+    # A request reserves the most that it may use; these use a third of it.
+    # Limits followed the reserved tokens, so a power failure cost three times
+    # the tokens used in that time.
     account = Account(BUDGET)
     account.set_total(1000000)
     account.credit(900000)
@@ -266,7 +267,7 @@
         account.settle(9000, 3000, number / 2 + 0.4, 3000)
     used_a_second = 3000 * 2
     assert account.limit_growth(4, 10.0) < 1.6 * used_a_second
-    # Also where it was lent, and what was not needed has come back.
+    # Also for lent tokens of which the unused part was returned.
     lender = Account(BUDGET)
     lender.set_total(1000000)
     lender.credit(900000)
@@ -276,10 +277,10 @@
     assert lender.limit_growth(4, 10.0) < 1.6 * used_a_second
 
 
-def test_a_record_opens_the_limit_for_a_request_that_waits():
-    # Half a second after a record a request for somewhat more than its limit
-    # let go got no new record, waited in vain and was refused, though its
-    # router held the tokens and reached the store.
+def test_a_record_raises_the_limit_for_a_waiting_request():
+    # Half a second after a record, no new one was written for a request that
+    # needed a little more than the limit.  It waited and was refused, though
+    # its router held the tokens and reached the store.
     world = make_world()
     keeper = world.routers[ADDRESSES[0]].keeper
     account = keeper.accounts[BUDGET]
@@ -297,9 +298,10 @@
     world.close()
 
 
-def test_a_router_that_a_limit_holds_back_borrows_in_a_cut():
-    # In a cut one router's callers were refused for its limit, while its peers
-    # might let go as much: only a router that held too little asked them.
+def test_a_router_held_back_by_a_limit_borrows_in_a_cut():
+    # In a cut from the store a router refused requests because of its limit,
+    # though its peers could have lent as much: it asked them only if it held
+    # too few tokens.
     world = make_world()
     keeper = world.routers[ADDRESSES[0]].keeper
     headroom = keeper.headroom(keeper.accounts[BUDGET])
--- a/test/test_prepaid_loans.py
+++ b/test/test_prepaid_loans.py
@@ -5,12 +5,11 @@
 from test.prepaid_world import World
 
 
-def test_a_loan_on_a_connection_that_turned_silent_comes_in_late():
-    # Symptom: tokens that a peer had lent were nowhere any more.  Sequence:
-    # the open connection to it went silent for good, the loan was asked for
-    # once more 0.1 s later, and its answer was lost as well.  Cause: a silent
-    # connection is replaced within a second, and the second ask gave up after
-    # 0.4 s, though the lender remembers what it answered for 30 s.
+def test_a_loan_on_a_stalled_connection_arrives_late():
+    # Tokens lent by a peer were lost when the open connection to it stalled.
+    # The request was repeated 0.1 s later and gave up after 0.4 s, but it may
+    # take a second until a stalled connection is replaced.  The lender
+    # remembers its reply for 30 s, so later attempts get the loan.
     world = World(1, 10000)
     one, lender = ADDRESSES[:2]
     for address in (one, lender):
--- a/test/test_prepaid_losses.py
+++ b/test/test_prepaid_losses.py
@@ -1,11 +1,11 @@
-"""What losses of power cost: tokens that nobody can account for."""
+"""Tokens lost by power failures."""
 
 import contextlib
 from test import machines
 from test.prepaid_world import ADDRESSES
 from test.prepaid_world import BUDGET
 from test.prepaid_world import World
-from test.test_prepaid import machine_recovered_however_late
+from test.test_prepaid import machine_recovered_at_any_age
 from unittest import mock
 
 from hypothesis import strategies
@@ -22,8 +22,8 @@
 from rowanport.prepaid.leases import REUSE_SHARE
 
 TOTAL = 1_000_000
-# Tokens of a request, and seconds between two of them: a budget that lasts
-# for 50 s.
+# Tokens of a request, and seconds between two requests: the budget lasts for
+# 50 s.
 REQUEST = 1000
 REQUEST_GAP = 0.05
 SEEDS = range(4)
@@ -40,7 +40,7 @@
 
 
 def serve(world, seconds):
-    """Let requests come to the routers in turn."""
+    """Send requests to the routers in turn."""
     for number in range(int(seconds / REQUEST_GAP)):
         address = ADDRESSES[number % len(ADDRESSES)]
         world.request(address, REQUEST, REQUEST, 0.3)
@@ -48,25 +48,25 @@
 
 
 def lose_power(world, addresses, down):
-    """Let some machines lose power; return once they are back."""
+    """Cut the power of some machines; return once they are back."""
     for address in addresses:
         world.kill(address, down, power=True)
     world.advance(down + 0.5)
 
 
 def lost(world):
-    """Return the tokens that are in no place any more."""
+    """Return the tokens drawn that are neither held nor used."""
     used = world.spent + world.under_way()
     return world.taken() - world.held() - used
 
 
 def worst_loss(addresses, down):
-    """Return the part of the budget that two losses of power cost at most."""
+    """Return the largest part of the budget lost by two power failures."""
     return max(lose_power_twice(seed, addresses, down) for seed in SEEDS)
 
 
 def lose_power_twice(seed, addresses, down):
-    """Return the part of the budget that two losses of power cost."""
+    """Return the part of the budget lost by two power failures."""
     world = make_busy_world(seed)
     lose_power(world, addresses, down)
     serve(world, 8.0)
@@ -78,37 +78,36 @@
     return part
 
 
-def test_two_losses_of_all_power_cost_less_than_a_twentieth():
-    # After the third return from a loss of power in one day callers were
-    # served for four seconds and then refused for want of tokens, 101 of 131
-    # of them 12 s after the return, while every router held none and the store
-    # had none left.  What a router may have let go since its last record was
-    # lost, and that grew from the record on, also while the machine was dark:
-    # for 2 s where the clocks said 1.4 to 1.9.  The next runs' accounts showed
-    # it: of 4,557,796 tokens 673,863 were "let_go" (by three losses), nearly
-    # none of them used, 0 stranded, 590,611 "under_way".
+def test_two_power_failures_of_all_routers_cost_less_than_a_twentieth():
+    # After three power failures in one day all tokens were gone: requests were
+    # served for four seconds, and 12 s after the return 101 of 131 were
+    # refused.  What a router may have let out since its last record is lost.
+    # Limits grew from the record on, also while the machine was off: for 2 s
+    # where the clocks said 1.4 to 1.9.  By the next runs' logs 673,863 of
+    # 4,557,796 tokens were "let_go" in three failures, nearly all of them
+    # unused, 0 "stranded" and 590,611 "under_way".
     costs = {down: worst_loss(ADDRESSES, down) for down in (0.5, 1.2)}
     assert max(costs.values()) < 0.05, costs
 
 
-def test_machines_that_were_dark_for_seconds_get_most_of_it_back():
-    # Routers that came back after 4 or 5 s without power got nothing of what
-    # they had held: their next runs logged "tokens_stranded", "age": null,
-    # "wall_age": 5.0 to 5.4; 11 in 100 of all budgets were gone so (474,225 of
-    # 4,431,165 "stranded").  Limits bound for 2.6 s and leases spanned no
-    # more, so that beyond it nothing was known of what had gone out.
+def test_machines_without_power_for_seconds_recover_most_tokens():
+    # Routers that came back after 4 or 5 s without power recovered nothing:
+    # their next runs logged "tokens_stranded", "age": null, "wall_age": 5.0 to
+    # 5.4, and 11 % of all budgets were lost (474,225 of 4,431,165 tokens
+    # "stranded").  Limits and leases lasted for 2.6 s, after which nothing
+    # proved how much had left.
     world = make_busy_world(0)
     held_each = world.held() / len(ADDRESSES) / world.total
     world.close()
     for count in (2, 4):
-        # Two losses, and half of what was held each time.
+        # Two failures, with half of the held tokens lost each time.
         most = count * held_each
         for down in (2.0, 4.0, 5.0):
             assert worst_loss(ADDRESSES[:count], down) < most, (count, down)
 
 
-# Seconds from a machine's start to a read of its leases, and seconds for which
-# the store may be out after that.
+# Seconds from a machine's start until it reads its leases, and seconds for
+# which the store stays down after that.
 START_SECONDS = 0.1
 OUTAGE_AFTER = 1.0
 
@@ -205,7 +204,10 @@
 
 
 def _proved(age):
-    """Return the age that leases prove, which may be older than the record."""
+    """Return the age that leases prove.
+
+    A reused lease may have started before the record.
+    """
     fresh = 1.0 - REUSE_SHARE
     return next((span for span in LEASE_SPANS if age < fresh * span), None)
 
@@ -214,7 +216,7 @@
     machines.run_machine(PowerMachine, examples, 12)
 
 
-def test_a_loss_of_power_costs_no_more_than_limits_let_go():
+def test_a_power_failure_costs_no_more_than_limits_allow():
     run_machine(30)
 
 
@@ -226,9 +228,9 @@
 
 @pytest.mark.parametrize(
     "broken",
-    (machine_recovered_however_late, no_machine_recovered),
+    (machine_recovered_at_any_age, no_machine_recovered),
     ids=lambda b: b.__name__,
 )
-def test_the_machine_of_losses_of_power_finds(broken):
+def test_the_power_machine_finds(broken):
     with broken(), pytest.raises(AssertionError):
         run_machine(200)
--- a/test/test_prepaid_news.py
+++ b/test/test_prepaid_news.py
@@ -1,4 +1,4 @@
-"""News of budgets' records between the routers that draw on them."""
+"""Updates of budget records between the routers that draw on them."""
 
 from test.prepaid_world import BUDGET
 from test.prepaid_world import SettledFleet
@@ -11,10 +11,10 @@
 
 
 @pytest.mark.parametrize("size", [7, 20])
-def test_few_draws_are_refused_as_others_have_drawn(size):
-    # Each draw builds on the record that its router saw last.  In turns of
-    # several routers that was nearly never the newest one: of the calls that
-    # drew, half were refused and made again.
+def test_few_draws_conflict_with_those_of_others(size):
+    # Each draw is conditional on the record that its router saw last.  With
+    # several routers drawing in turn that was hardly ever the newest one: half
+    # of the draws were refused and repeated.
     world = SettledFleet(1000000, size=size).world
     before, conflicts = world.writes, world.conflicts
     for number in range(60):
@@ -28,14 +28,14 @@
     world.close()
 
 
-def test_news_that_are_not_true_cost_one_call_and_no_token():
+def test_false_updates_cost_one_call_and_no_token():
     world = SettledFleet(size=4).world
     record = BudgetRecord(taken=0, total=10**9, version=10**6)
-    lies = BudgetNews(BUDGET, world.revision + 1000, record.pack())
-    noise = BudgetNews(BUDGET, world.revision + 2000, b"\xc1")
+    false_update = BudgetNews(BUDGET, world.revision + 1000, record.pack())
+    malformed_update = BudgetNews(BUDGET, world.revision + 2000, b"\xc1")
     for router in world.routers.values():
-        router.keeper.handle(lies)
-        router.keeper.handle(noise)
+        router.keeper.handle(false_update)
+        router.keeper.handle(malformed_update)
     for number in range(20):
         world.request(f"10.0.1.{number % 4}:1", 9000, 9000, 0.1)
         world.advance(0.3)
@@ -47,9 +47,10 @@
     world.close()
 
 
-def test_only_the_router_that_lacks_tokens_draws_them_in_a_small_fleet():
-    # Each of six that were asked drew what the seventh lacked, and near the
-    # end of a budget what was left of it lay where nobody needed it.
+def test_only_the_router_that_lacks_tokens_draws_in_a_small_fleet():
+    # Six peers that were asked for a loan each drew the shortfall of the
+    # seventh router.  Near the end of a budget its last tokens were then held
+    # where no request needed them.
     world = SettledFleet(size=7).world
     one = world.routers["10.0.1.0:1"]
     held = {
--- a/test/test_prepaid_recovery.py
+++ b/test/test_prepaid_recovery.py
@@ -1,4 +1,4 @@
-"""Which reads a start costs, and records that a cheap one misses."""
+"""Recovery of an earlier run's record: its reads, contents and logs."""
 
 from test.prepaid_world import ADDRESSES
 from test.prepaid_world import BUDGET
@@ -21,8 +21,8 @@
 from rowanport.prepaid.batches import BUDGET_PREFIX
 
 
-def test_only_routers_with_a_record_pay_for_a_read_at_their_start():
-    # Of 195 routers nine had one, and each paid for the read.
+def test_only_routers_with_a_record_do_a_full_read_at_their_start():
+    # Of 195 routers nine had a record, but each did a full read.
     fleet = SettledFleet()
     world = fleet.world
     assert world.reads == 0
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_a_record_that_an_old_answer_misses_is_recovered_all_the_same(seed):
+def test_a_record_that_a_stale_read_misses_is_recovered(seed):
     world = World(seed, 100000)
     for address in ADDRESSES:
         world.start(address)
@@ -51,10 +51,11 @@
 
 @pytest.mark.parametrize("power", (False, True), ids=("process", "machine"))
 @pytest.mark.parametrize("down", (0.5, 8.0), ids=("recovered", "stranded"))
-def test_what_an_ended_run_knew_to_be_spent_is_counted_once(power, down):
-    # Each router counts what requests used until it draws again, and that was
-    # lost with it.  After a loss of all power two budgets that were used up
-    # but for 918 of 1,077,563 tokens were called so 10 of 404 times.
+def test_spent_tokens_of_an_ended_run_are_counted_once(power, down):
+    # A router counts spent tokens until its next draw reports them, and that
+    # count was lost when it ended.  After a power failure of all routers two
+    # budgets with 918 of 1,077,563 tokens left were refused as spent only 10
+    # of 404 times.
     world = World(1, 400000)
     for address in ADDRESSES:
         world.start(address)
@@ -72,7 +73,7 @@
         for address in ADDRESSES:
             world.kill(address, down, power)
         world.advance(down + 2.0)
-    # Each reports it as it draws again.
+    # Each router reports the count with its next draw.
     for address in ADDRESSES:
         account = world.routers[address].keeper.accounts[BUDGET]
         account.debit(account.available)
@@ -90,15 +91,15 @@
     assert old.unspent(1.0) == {BUDGET: 70}
     assert old.spent == {}
     assert old.out == {}
-    # Its limits grew at once, and bound for less long.
+    # Its limits grew at once and lapsed earlier.
     assert process_age(old, 2.0, 2.0) == 2.0
     assert process_age(old, 3.0, 3.0) is None
     assert machine_age(old, 2.0, True, 1.5) == 2.0
     assert machine_age(old, 3.0, True, 1.5) is None
 
 
-def test_a_record_tells_the_spans_that_its_writer_kept_to():
-    # Times of day in seconds have rounding errors.
+def test_a_record_gives_the_exact_spans_that_its_writer_used():
+    # Differences of large times have rounding errors.
     for made_at in (0.1, 1234567.8912345, -987654.32109):
         allowance = Allowance(made_at, {}, {})
         record = HolderRecord(
@@ -116,7 +117,7 @@
             assert record.unspent(age) == {BUDGET: 1000 - limit.at(age)}
 
 
-def test_a_record_tells_where_the_tokens_of_its_run_went():
+def test_a_record_accounts_for_the_tokens_of_its_run():
     record = HolderRecord(
         "run", 1, holdings={BUDGET: (100, 50, 10.0)}, out={BUDGET: (40, 30)}
     )
@@ -132,7 +133,7 @@
     assert (account.let_go, account.unspent) == (60, 0)
 
 
-def test_the_next_run_says_where_the_tokens_of_the_last_one_are():
+def test_the_next_run_logs_the_accounts_of_the_last_one():
     world = World(1, 100000)
     world.start(ADDRESSES[0])
     world.advance(4.0)
--- a/test/test_prepaid_spent.py
+++ b/test/test_prepaid_spent.py
@@ -1,10 +1,10 @@
-"""Budgets that are spent are called so, also by routers that only borrow.
+"""Spent budgets are refused as such, also by routers that only borrow.
 
-What happened: two budgets of a fleet of 23 were used up but for 676 and 14,176
+In a fleet of 23 routers two budgets were used up but for 676 and 14,176
 tokens.  Four routers draw on a budget; the others had served most requests and
-told nobody how much these had used.  So nobody could tell a budget that is
-spent from one that lacks tokens for now, and 419 requests in 20 s were refused
-with the word to come back.
+did not report how much these had used.  So no router could tell a spent budget
+from one that lacks tokens for now, and 419 requests in 20 s were refused with
+a time to retry.
 """
 
 import itertools
@@ -28,7 +28,7 @@
 
 
 def use(world, address, tokens):
-    """Let a request use some tokens, surely."""
+    """Run a request that is known to use some tokens."""
     keeper = world.routers[address].keeper
     world.loop.run_until_complete(keeper.reserve(BUDGET, tokens))
     keeper.settle(BUDGET, tokens, tokens, tokens)
@@ -36,7 +36,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_spent_budget_is_called_so_by_those_that_only_borrow(seed):
+def test_borrowers_refuse_a_spent_budget_as_spent(seed):
     fleet = SettledFleet(seed=seed)
     world, borrowers = fleet.world, fleet.borrowers
     for number in range(19):
@@ -49,7 +49,7 @@
         world.advance(0.5)
     spent = kinds.count(ErrorKind.BUDGET_SPENT)
     assert spent > 0.7 * len(kinds), f"{spent} of {len(kinds)}"
-    # Nobody says so of what is left.
+    # A request for tokens that are left is served.
     world.advance(2.0)
     use(world, borrowers[0], 1000)
     world.check()
@@ -57,8 +57,8 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_no_more_is_called_spent_than_was(seed):
-    # News of what was spent are lost, late and refused; routers stop and end.
+def test_no_router_counts_more_than_was_spent(seed):
+    # Reports of spent tokens are lost, late or refused; routers are killed.
     world = SettledFleet(400000, seed).world
     fates = ["", "lost", "answer lost", "repeated"]
     for number in range(60):
@@ -88,9 +88,9 @@
     world.spent += tokens
 
 
-def test_news_of_a_record_tell_who_draws_what_was_spent():
-    # A router that draws knew what the others used by its own last draw only,
-    # and near the end of a budget nobody draws any more.
+def test_updates_of_a_record_give_holders_the_spent_count():
+    # A holder learned what the others had used with its own draws only, and
+    # near the end of a budget no router draws any more.
     fleet = SettledFleet()
     world = fleet.world
     one, other = fleet.holders[:2]
@@ -103,7 +103,7 @@
 
 
 class LostAnswers:
-    """A store that takes one batch, whose answers are lost from then on."""
+    """A store that commits one batch and whose answers are all lost."""
 
     def __init__(self, store):
         self._store = store
@@ -119,10 +119,11 @@
         raise StoreUnavailable("no answer")
 
 
-def test_what_an_unsure_batch_may_count_is_not_told_to_a_lender():
-    # A router drew for want of holders; the store took its batch, which counts
-    # what it had spent, and it never heard so.  A borrower again, it told a
-    # lender the same, and the budget's record counted it twice.
+def test_spent_tokens_in_an_uncertain_batch_are_not_reported_to_a_lender():
+    # A router drew itself, as it reached no holder.  Its batch reported spent
+    # tokens and was committed, but the answer was lost.  As a borrower again
+    # it reported the same tokens to a lender, and the budget's record counted
+    # them twice.
     fleet = SettledFleet()
     world = fleet.world
     address = fleet.borrowers[0]
@@ -144,10 +145,10 @@
     world.close()
 
 
-def test_what_is_told_to_a_lender_stands_in_no_record_of_a_holder():
-    # A next run reports what the record of an ended one names.  A router that
-    # draws on one budget and borrows of another told a lender of the second
-    # what its record named, too.
+def test_spent_tokens_reported_to_a_lender_are_in_no_holder_record():
+    # The next run reports the spent tokens in an ended run's record.  A router
+    # that draws on one budget and borrows of another reported those of the
+    # second to a lender, but had them in its record as well.
     share = mock.patch.object(holders, "DRAWING_SHARE", 0.5)
     with share, mock.patch.object(holders, "HOLDERS", 2):
         fleet = SettledFleet()
@@ -167,15 +168,15 @@
                 stored = world.read(HOLDER_PREFIX + address)
                 record = HolderRecord.unpack(stored.data)
                 assert BUDGET not in record.spent
-        told = sum(fleet.account(a).known_spent for a in fleet.holders)
-        assert told >= 7000 - 700
+        reported = sum(fleet.account(a).known_spent for a in fleet.holders)
+        assert reported >= 7000 - 700
         world.close()
 
 
-def test_routers_that_tell_each_other_what_was_spent_do_not_add_it_up():
-    # What a router had heard of a peer held the peer's own count of what this
-    # one spent, and it added that again: of 600 tokens used four routers that
-    # asked each other in turn knew of 720, and called the budget spent.
+def test_exchanged_spent_counts_are_not_added_up():
+    # A peer's count may include the tokens that this router spent, but the
+    # router added them again.  Four routers that asked each other in turn
+    # counted 720 of 600 used tokens, and refused the budget as spent.
     world = World(1, 10000)
     for address in ADDRESSES:
         world.start(address)
--- a/test/test_prepaid_start.py
+++ b/test/test_prepaid_start.py
@@ -1,11 +1,10 @@
-"""Tokens of a larger fleet whose routers start again all at once.
-
-What happened, in a fleet of 23 routers that lost power together: requests came
-with the first moments of each router.  None had heard of another yet, so each
-took itself for alone and drew tokens for itself, in 93 calls of the store in
-half a second, most of them refused because another one had drawn meanwhile.
-What they held was given back 3 s later in 46 more calls, and until then lay
-where nobody asked for it.
+"""Draws in a larger fleet whose routers all start at the same time.
+
+A fleet of 23 routers lost power, and requests arrived as soon as the routers
+were back.  None knew of another yet, so each acted as the only router and drew
+tokens itself: 93 store calls in half a second, most of them refused as another
+router had drawn meanwhile.  These tokens were returned 3 s later in 46 more
+calls, and until then they were held where no request needed them.
 """
 
 from test.prepaid_world import BUDGET
@@ -17,44 +16,44 @@
 from rowanport.incarnation import address_of
 
 FLEET = [f"10.0.1.{number}:1" for number in range(20)]
-HEARD_AFTER = 1.5
+LEARN_DELAY = 1.5
 
 
 class LateMembers(FakeMembers):
-    """A router that hears of the others some time after its start.
+    """Members of a router that learns of its peers after some time.
 
-    Until then it knows by the platform's list who did something for all.
+    Until then it knows the delegates by the platform's list only.
     """
 
     def __init__(self, world, incarnation):
         super().__init__(world, incarnation)
-        self._heard_at = world.loop.now + HEARD_AFTER
+        self._learned_at = world.loop.now + LEARN_DELAY
 
     @property
-    def _heard(self):
-        return self._world.loop.now >= self._heard_at
+    def _has_learned(self):
+        return self._world.loop.now >= self._learned_at
 
     def others(self):
-        return super().others() if self._heard else []
+        return super().others() if self._has_learned else []
 
     def ready_others(self):
-        return super().ready_others() if self._heard else []
+        return super().ready_others() if self._has_learned else []
 
     def is_unheard(self, address):
         listed = set(rendezvous("store", FLEET)[:9])
-        return not self._heard and address in listed
+        return not self._has_learned and address in listed
 
     def delegates(self, kind, least, share):
         own = address_of(self._incarnation)
         known = FLEET
-        if not self._heard:
+        if not self._has_learned:
             known = {*rendezvous("store", FLEET)[:9], own}
         count = max(least, int(share * len(FLEET)))
         return rendezvous("store", known)[:count]
 
 
 def start_again(down, seed=1):
-    """Return a World whose routers just lost power, and their holders."""
+    """Return a World just after a power failure, and the old holders."""
     world = World(seed, 600000)
     for address in FLEET:
         world.start(address)
@@ -71,7 +70,7 @@
 
 
 @mock.patch("test.prepaid_world.FakeMembers", LateMembers)
-def test_routers_that_start_together_draw_for_each_other_at_once():
+def test_only_holders_draw_when_all_routers_start_together():
     world, holders = start_again(down=())
     writes, served = world.writes, world.served
     for address in FLEET:
@@ -87,7 +86,7 @@
 
 @mock.patch("test.prepaid_world.FakeMembers", LateMembers)
 def test_a_router_that_reaches_no_holder_draws_for_itself():
-    # Those that drew before may never come back.
+    # The holders before the failure do not come back.
     holders = rendezvous("store", FLEET)[:4]
     world, _holders = start_again(down=holders)
     served = world.served
--- a/test/test_prepaid_stops.py
+++ b/test/test_prepaid_stops.py
@@ -1,4 +1,4 @@
-"""Planned stops that follow each other closely, and what becomes of tokens."""
+"""Planned stops in quick succession, and handoffs of tokens."""
 
 from test.prepaid_world import ADDRESSES
 from test.prepaid_world import BUDGET
@@ -17,7 +17,7 @@
 from rowanport.prepaid.handoff import Handoffs
 from rowanport.schema.messages import Refused
 
-# Budgets that take several batches to give back.
+# Enough budgets to need several batches for their return.
 MANY = [f"org-{number}" for number in range(40)]
 
 
@@ -31,20 +31,19 @@
 
 
 def stranded(world):
-    """Return the tokens that are in no place any more."""
+    """Return the tokens drawn that are neither held nor used."""
     used = world.spent + world.under_way()
     return world.taken() - world.held() - used
 
 
 @pytest.mark.parametrize("gap", (0.1, 0.5, 1.1))
-def test_stops_of_all_routers_in_series_end_no_loop(gap):
-    # Symptom: after planned stops of the whole fleet a third of all requests
-    # was refused as budget_exhausted till the end.  Sequence: routers stopped
-    # closer together than a stop takes, so that for a moment none was ready.
-    # Cause: those that leave hold for nobody, so the count of holders was 0,
-    # and Account.pace divided by it.  Settled by "task_failed
-    # ZeroDivisionError" of the routers that were just stopping: 7 and 4 times
-    # on two days of stops 0.5 s apart over seven routers.
+def test_stops_of_all_routers_in_series_make_no_task_fail(gap):
+    # Routers stopped at intervals shorter than a stop takes, so that for a
+    # moment none was ready.  Leaving routers are no holders, so the count of
+    # holders was 0 and Account.limit_growth divided by it.  The loops of the
+    # stopping routers ended with "task_failed ZeroDivisionError" (7 and 4
+    # times in two runs of stops 0.5 s apart over seven routers), and from then
+    # on a third of all requests was refused as budget_exhausted.
     world = make_world()
     world.stop_all(gap)
     world.advance(4 * gap + 1.0)
@@ -54,11 +53,11 @@
     world.close()
 
 
-def test_the_last_router_to_stop_gives_back_what_it_holds():
-    # Symptom: "no_heir" of the last router to stop, and its next run wrote
-    # tokens_stranded.  Sequence: no router was ready; the last request ended,
-    # and with it the router.  Cause: a hand-over without an heir waited for
-    # nothing, so that what had become free since the last batch was lost.
+def test_the_last_router_to_stop_returns_its_tokens():
+    # The last router to stop logged "no_heir", and its next run logged
+    # tokens_stranded.  No other router was ready, and a handoff without a
+    # recipient returned at once.  The router then ended with its last request,
+    # and the tokens released since the last batch were lost.
     world = make_fleet(1)
     router = world.routers[ADDRESSES[0]]
     keeper = router.keeper
@@ -72,8 +71,8 @@
     world.close()
 
 
-def test_the_last_router_to_stop_gives_back_many_budgets():
-    # A batch holds a dozen budgets: the rest is given back by later ones.
+def test_the_last_router_to_stop_returns_many_budgets():
+    # A batch holds a dozen budgets; later ones return the rest.
     world = make_fleet(1)
     keeper = world.routers[ADDRESSES[0]].keeper
     keeper.set_totals({name: 10000 for name in MANY}, 2)
@@ -86,8 +85,8 @@
     world.close()
 
 
-def test_a_router_without_an_heir_serves_until_it_ends():
-    # What nobody can take is of use where it is while requests still come.
+def test_a_router_without_a_recipient_serves_until_it_ends():
+    # Tokens that no peer can accept are used here while requests arrive.
     world = make_fleet(1)
     world.stop(ADDRESSES[0])
     world.advance(1.5)
@@ -97,11 +96,11 @@
     world.close()
 
 
-def test_a_router_that_stops_inherits_nothing():
-    # Symptom: a router that had been stopping for half a second inherited
-    # tokens of another one that stopped.  Cause: who is ready is known late,
-    # and what comes after the last hand-over is lost.  Settled by
-    # tokens_inherited 0.53 s after gateway_stopping on the same instance.
+def test_a_stopping_router_accepts_no_handoff():
+    # A router that had been stopping for half a second accepted tokens of
+    # another stopping router: it logged tokens_inherited 0.53 s after
+    # gateway_stopping.  Peers learn late that a router is leaving, and tokens
+    # that it gets after its last handoff are lost.
     world = make_fleet(3)
     world.news_delay = FAR
     first, second = ADDRESSES[:2]
@@ -118,16 +117,16 @@
     world.close()
 
 
-def stop_beside_a_silent_connection(fate, at_the_end):
-    """Stop a router whose connection to its heir is silent for a while.
+def stop_with_a_stalled_connection(fate, at_the_end):
+    """Stop a router whose connection to its recipient stalls for a while.
 
-    :param fate: what becomes of calls on it
-    :param at_the_end: whether that is at the last hand-over, not the first
+    :param fate: what happens to calls on it
+    :param at_the_end: whether it stalls at the last handoff, not at the first
     """
     world = make_fleet(2)
     one, recipient = ADDRESSES[:2]
     if at_the_end:
-        # So long it has no heir at all.
+        # Until then it has no recipient at all.
         world.cuts.add(frozenset((one, recipient)))
         world.loop.call_later(STOP_LINGER - 0.1, world.cuts.clear)
         world.silent[one, recipient] = (
@@ -135,7 +134,7 @@
             world.loop.now + STOP_LINGER + 1.2,
         )
     else:
-        turn_silent_once_tokens_came(world, one, recipient, fate)
+        stall_once_tokens_arrive(world, one, recipient, fate)
     world.request(one, 150, 50, STOP_LINGER - 0.2)
     world.stop(one)
     world.advance(STOP_LINGER + 4.0)
@@ -145,29 +144,29 @@
     return left
 
 
-def turn_silent_once_tokens_came(world, one, recipient, fate):
-    """Let a connection turn silent as the first tokens come in."""
+def stall_once_tokens_arrive(world, one, recipient, fate):
+    """Make a connection stall as the first tokens arrive."""
     keeper = world.routers[recipient].keeper
-    accept_handoff = keeper.accept_handoff
+    accept = keeper.accept_handoff
 
-    def inherit_unheard(name, tokens, sender):
+    def accept_without_answer(name, tokens, sender):
         if (one, recipient) not in world.silent:
             world.silent[one, recipient] = (fate, world.loop.now + 1.15)
-        accept_handoff(name, tokens, sender)
+        accept(name, tokens, sender)
 
-    keeper.accept_handoff = inherit_unheard
+    keeper.accept_handoff = accept_without_answer
 
 
 @pytest.mark.parametrize("fate", ("lost", "answer lost"))
 @pytest.mark.parametrize("at_the_end", (False, True))
-def test_a_connection_that_turned_silent_strands_nothing(fate, at_the_end):
-    # Open connections may go silent for good; new ones replace them within a
-    # second.  A hand-over was tried for 1.6 s, but the last one has 0.8 s.
-    assert stop_beside_a_silent_connection(fate, at_the_end) == 0
+def test_a_stalled_connection_strands_nothing(fate, at_the_end):
+    # An open connection may stall for good; a new one replaces it within a
+    # second.  Handoffs were retried for 1.6 s, but the last one has 0.8 s.
+    assert stop_with_a_stalled_connection(fate, at_the_end) == 0
 
 
 async def refused_if_unanswered(self, recipient, message):
-    """Send a hand-over once, and take no answer for a refusal."""
+    """Send a handoff once, and treat a missing answer as a refusal."""
     try:
         address = address_of(recipient)
         return await self._peers.call(address, message, ATTEMPT_TIMEOUT)
@@ -175,17 +174,17 @@
         return Refused(ErrorKind.STOPPING.value, "")
 
 
-def test_tokens_of_a_hand_over_without_an_answer_go_to_nobody_else():
+def test_tokens_of_an_unanswered_handoff_go_to_no_one_else():
     broken = mock.patch.object(Handoffs, "_send", refused_if_unanswered)
-    with broken, pytest.raises(AssertionError, match="about"):
-        stop_beside_a_silent_connection("answer lost", False)
+    with broken, pytest.raises(AssertionError, match="exist"):
+        stop_with_a_stalled_connection("answer lost", False)
 
 
-def hand_over_to_two_runs():
-    """Hand tokens over to a router that takes them, ends and starts again."""
+def hand_off_to_two_runs():
+    """Hand off tokens to a router that accepts them and restarts."""
     world = make_fleet(2)
     one, recipient = ADDRESSES[:2]
-    turn_silent_once_tokens_came(world, one, recipient, "answer lost")
+    stall_once_tokens_arrive(world, one, recipient, "answer lost")
     world.stop(one)
     world.loop.call_later(1.0, world.kill, recipient, 0.1)
     world.advance(8.0)
@@ -193,12 +192,12 @@
     world.close()
 
 
-def test_another_run_of_an_heir_does_not_take_the_same_tokens():
-    # Symptom: more tokens about than were taken.  Sequence: an heir took a
-    # hand-over whose answer was lost, wrote its record and was killed; its
-    # next run recovered what the record named, and took the repeated message
-    # as well.  Cause: repeats are known by a memory that ends with the run.
-    hand_over_to_two_runs()
+def test_another_run_of_a_recipient_does_not_accept_the_same_tokens():
+    # Replies to repeated messages are remembered only while a run lasts.  A
+    # recipient accepted a handoff whose answer was lost, wrote its record and
+    # was killed.  Its next run recovered the tokens in the record and accepted
+    # the repeated message as well, so more tokens existed than were drawn.
+    hand_off_to_two_runs()
     taken = mock.patch.object(Handoffs, "_is_for_this_run", lambda *_: True)
-    with taken, pytest.raises(AssertionError, match="about"):
-        hand_over_to_two_runs()
+    with taken, pytest.raises(AssertionError, match="exist"):
+        hand_off_to_two_runs()
