--- a/rowanport/gateway/blocklist.py
+++ b/rowanport/gateway/blocklist.py
@@ -15,8 +15,8 @@
 from ..supervision import beat
 from ..suspects import pack_blocked
 from ..suspects import unpack_blocked
-from .fingerprint import fingerprint_text
-from .followers import followers
+from .fingerprint import format_fingerprint
+from .store_watchers import store_watchers
 
 LOG = structlog.get_logger(__name__)
 
@@ -56,11 +56,11 @@
         self._outdated = False
         self._changed = asyncio.Event()
 
-    def note_change(self):
+    def on_blocked(self):
         """Note that a request was blocked."""
         self._changed.set()
 
-    def note_answered(self):
+    def on_blocked_answered(self):
         """Note that this router saw a whole answer to a blocked request."""
         self._outdated = True
         self._changed.set()
@@ -98,14 +98,14 @@
         """Return whether to read the record; the others hear of it."""
         if self._loaded or self._clock.steady() < self._load_at:
             return False
-        return self._address in followers(self._members)
+        return self._address in store_watchers(self._members)
 
     async def _look(self):
         if self._must_load:
             self._value = await self._store.get_value(BLOCKED_KEY)
             self._loaded = True
             rows = unpack_blocked(self._value.data, self._clock.wall())
-            self._crashes.news.hear(SuspectNews(0, rows))
+            self._crashes.sync.receive(SuspectNews(0, rows))
         if self._due():
             await self._save()
 
@@ -120,9 +120,9 @@
 
     def _turn(self, suspect):
         """Return how many routers come before this one."""
-        routers = [address_of(other) for other in self._members.others()]
+        routers = [address_of(other) for other in self._members.live_peers()]
         routers.append(self._address)
-        order = rendezvous(fingerprint_text(suspect.fingerprint), routers)
+        order = rendezvous(format_fingerprint(suspect.fingerprint), routers)
         return order.index(self._address)
 
     async def _save(self):
@@ -162,5 +162,5 @@
     def _note_stored(self, rows):
         now = self._clock.steady()
         for row in rows:
-            self._crashes.table.note_stored(row.fingerprint, now)
+            self._crashes.table.mark_stored(row.fingerprint, now)
         LOG.info("blocklist_stored", count=len(rows))
--- a/rowanport/gateway/daemon.py
+++ b/rowanport/gateway/daemon.py
@@ -26,23 +26,23 @@
 from .blocklist import Blocklist
 from .choice import NearestChoice
 from .choice import PrefixChoice
-from .congestion import Congestion
-from .crashes import CrashGuard
+from .congestion import CongestionDetector
+from .crash_guard import CrashGuard
 from .exchange import Exchange
 from .fingerprint import Fingerprints
-from .followers import listeners
 from .forwarder import Forwarder
 from .health import HealthFront
 from .job import Admission
-from .limits import RateLimits
-from .loads import LoadNotes
+from .load_sync import LoadSync
 from .metrics import GatewayMetrics
 from .pool import UpstreamPool
-from .prefixes import PrefixMap
+from .prefix_map import PrefixMap
+from .rate_limits import RateLimits
 from .refusals import Refusals
-from .retries import RetryWindow
+from .retry_window import RetryWindow
 from .settings import split_address
 from .stopping import Stopping
+from .store_watchers import update_recipients
 from .views import Views
 
 LOG = structlog.get_logger(__name__)
@@ -121,7 +121,7 @@
             lambda instances: None,
         )
         clocks = FleetClocks(self.clock)
-        self.congestion = Congestion(self.clock)
+        self.congestion = CongestionDetector(self.clock)
         self._views = Views(
             decode,
             self.members,
@@ -131,8 +131,8 @@
             clocks,
             self.congestion,
         )
-        self._views.on_table = self._take_table
-        self._views.on_upstreams = self._take_upstreams
+        self._views.on_table = self._apply_table
+        self._views.on_upstreams = self._apply_upstreams
         self._views.tell = self._peer_server.tell
         self._peers.on_told = self._hear_told
         self.budgets = BudgetKeeper(
@@ -149,7 +149,9 @@
         # What silenced a connection to a peer may have silenced those to
         # upstreams: a request on one would wait for its time-out.
         self._peers.on_silence = self.client.doubt
-        told = functools.partial(listeners, self.members, settings.peers)
+        told = functools.partial(
+            update_recipients, self.members, settings.peers
+        )
         self.limits = self._views.limits = RateLimits(
             self._peers,
             self.members,
@@ -173,7 +175,7 @@
             self.clock,
             self.metrics,
         )
-        self._views.crashes = self.crashes.news
+        self._views.crashes = self.crashes.sync
         self._blocklist = Blocklist(
             self._store,
             self.crashes,
@@ -181,8 +183,8 @@
             settings.peers,
             self.clock,
         )
-        self.crashes.on_verdict = self._blocklist.note_change
-        self.crashes.on_answered = self._blocklist.note_answered
+        self.crashes.on_blocklist_change = self._blocklist.on_blocked
+        self.crashes.on_blocked_answered = self._blocklist.on_blocked_answered
         self.refusals = Refusals(self.clock)
         self.stopping = Stopping(self.members, self.clock)
         self.forwarder = Forwarder(self)
@@ -190,7 +192,7 @@
         self._prefixes = prefixes = PrefixMap()
         self._prefix_choice = PrefixChoice(settings.data_centre, prefixes)
         self._nearest_choice = NearestChoice(settings.data_centre)
-        self.loads = self._views.loads = LoadNotes(
+        self.loads = self._views.loads = LoadSync(
             self.pool,
             prefixes,
             self._peers,
@@ -227,9 +229,9 @@
 
         Without one of its loops a router serves by what gets ever older.
         """
-        if self._loops.failing or self._views.standing.old:
+        if self._loops.failing or self._views.freshness.stale:
             return False
-        return self.members.own.state == READY
+        return self.members.own_entry.state == READY
 
     def loop_silences(self):
         """Return by loop the seconds since it was last heard of."""
@@ -241,7 +243,7 @@
 
     def unread(self, state, job, now):
         """Return the prompt tokens that an engine has to read of a job."""
-        return self._prefix_choice.unread(state, job, now)
+        return self._prefix_choice.uncached_tokens(state, job, now)
 
     def retries(self, service):
         """Return the RetryWindow of a service."""
@@ -253,7 +255,7 @@
             )
         return window
 
-    def _take_table(self, table):
+    def _apply_table(self, table):
         limits = table.limits
         self._limits.head = limits.head
         self._limits.body = limits.body
@@ -267,12 +269,12 @@
         }
         self.budgets.set_totals(totals, table.version)
 
-    def _take_upstreams(self, upstreams):
+    def _apply_upstreams(self, upstreams):
         for name in self.pool.update(upstreams.upstreams):
-            self._prefixes.forget(name)
+            self._prefixes.remove_engine(name)
             LOG.info("upstream_restarted", upstream=name)
         listed = upstreams.upstreams.values()
-        self.limits.keep({upstream.run.name for upstream in listed})
+        self.limits.retain({upstream.run.name for upstream in listed})
 
     # Peers
 
@@ -283,10 +285,10 @@
             messages.Gossip: self.members.receive,
             messages.ViewAsk: self._views.handle,
             messages.UpstreamNews: self._views.hear_news,
-            messages.LoadNote: self.loads.hear,
-            messages.SuspectNews: self.crashes.news.hear,
-            messages.SuspectRun: self.crashes.news.hear_run,
-            messages.LimitNews: self.limits.hear_news,
+            messages.LoadNote: self.loads.receive,
+            messages.SuspectNews: self.crashes.sync.receive,
+            messages.SuspectRun: self.crashes.sync.receive_run,
+            messages.LimitNews: self.limits.receive,
             messages.PermitAsk: self.limits.grant,
         }
 
@@ -342,18 +344,18 @@
 
     async def _ask_seeds(self):
         """Ask the seeds for views until there are some."""
-        while not self._known and self.settings.seeds:
+        while not self._has_initial_views and self.settings.seeds:
             for address in self.settings.seeds:
                 if address != self.settings.peers:
                     await self._views.ask(address, SEED_TIMEOUT)
             await asyncio.sleep(SEED_PAUSE)
 
     @property
-    def _known(self):
+    def _has_initial_views(self):
         return self.table is not None and self.upstreams.revision > 0
 
     async def _become_ready(self):
-        while not self._known:
+        while not self._has_initial_views:
             await asyncio.sleep(READY_POLL)
         if not self.stopping.begun:
             self.members.set_state(READY)
--- a/rowanport/gateway/sending.py
+++ b/rowanport/gateway/sender.py
@@ -13,8 +13,8 @@
 from .relay import EventRelay
 from .relay import is_stream
 from .relay import WholeRelay
-from .repeats import give_up
-from .repeats import RepeatRefused
+from .retry_policy import final_error
+from .retry_policy import RetryRefused
 
 # Part of the remaining time after which a repeatable request that has no
 # answer is sent to another upstream as well.
@@ -29,12 +29,12 @@
 ASK_AGAIN = 0.25
 
 
-class Sending:
+class JobSender:
     """The sends of one Job.
 
     :param gateway: the Gateway, for its parts
     :param log: the DecisionLog
-    :param repeats: the Repeats
+    :param repeats: the RetryPolicy
     :param job: the Job
     :param responder: the Responder of its caller
     """
@@ -56,11 +56,11 @@
         """
         try:
             attempt = await self._begin_admitted()
-            while not self._job.whole:
+            while not self._job.complete:
                 attempt = await self._step(attempt)
-            attempt.state.note_success()
+            attempt.state.record_success()
             run = attempt.state.record.run
-            self._crashes.note_whole(self._job, run)
+            self._crashes.record_success(self._job, run)
             self._log.note_answered()
         finally:
             for attempt in self._attempts:
@@ -75,20 +75,20 @@
             if not await self._advances(attempt):
                 return await self._follow_silence(attempt)
             self._check(attempt)
-            await attempt.pass_on()
+            await attempt.forward()
             self._note_sign(attempt)
             return attempt
         except UpstreamError as error:
             self._drop(attempt, error)
-            self._repeats.check_again(self._job, self._responder, error)
+            self._repeats.check_retry(self._job, self._responder, error)
             return await self._begin_admitted()
 
     async def _advances(self, attempt):
         """Wait for a sign of an upstream; return False if it stays silent."""
-        if attempt.silent_at is None:
+        if attempt.stalled_at is None:
             await attempt.advance()
             return True
-        left = max(0.0, attempt.silent_at - self._clock.steady())
+        left = max(0.0, attempt.stalled_at - self._clock.steady())
         try:
             async with asyncio.timeout(left):
                 await attempt.advance()
@@ -109,7 +109,7 @@
 
     @property
     def _can_run_again(self):
-        return self._repeats.can_run_again(self._job, self._responder)
+        return self._repeats.may_retry(self._job, self._responder)
 
     # Sends
 
@@ -123,7 +123,7 @@
         await self._crashes.admit(self._job)
         while True:
             state = self._choose()
-            if await self._gateway.limits.take(state):
+            if await self._gateway.limits.acquire(state):
                 return self._begin(state)
 
     def _begin(self, state):
@@ -134,7 +134,7 @@
         # Counted at once, so that others of this moment go elsewhere.
         ahead = self._note_load(state)
         opening = asyncio.ensure_future(self._open(state, ahead))
-        flight = self._crashes.begin(job, state)
+        flight = self._crashes.start_run(job, state)
         attempt = Attempt(state, opening, self._relay, flight)
         self._attempts.append(attempt)
         self._note_sign(attempt)
@@ -154,22 +154,22 @@
     def _taking(self, candidates, now):
         """Return the candidates that surely take requests now."""
         try:
-            self._gateway.views.standing.check()
-            return self._gateway.limits.open(candidates, now)
+            self._gateway.views.freshness.check()
+            return self._gateway.limits.with_permits(candidates, now)
         except RequestError as error:
             if self._job.runs:
-                raise give_up(self._job, UpstreamError(error.detail))
+                raise final_error(self._job, UpstreamError(error.detail))
             raise
 
     def _choose_among(self, candidates):
         gateway, job = self._gateway, self._job
         now = self._clock.steady()
         if not candidates:
-            raise give_up(job, UpstreamError("no upstream is left"))
+            raise final_error(job, UpstreamError("no upstream is left"))
         choice = gateway.choice(job.tokens is not None)
         if not job.sends:
             self._check_in_time(choice, candidates, now)
-        candidates = self._crashes.place(job, candidates, now)
+        candidates = self._crashes.isolate(job, candidates, now)
         state = choice.choose(candidates, job, now)
         job.backlog = round(state.backlog.tokens(now))
         return state
@@ -201,7 +201,7 @@
         )
         if is_stream(answer):
             now = self._clock.steady()
-            state.backlog.note_first_event(ahead, now - sent_at, now)
+            state.backlog.record_first_event(ahead, now - sent_at, now)
         return answer
 
     def _check_last(self, state):
@@ -212,12 +212,12 @@
         gateway, record = self._gateway, state.record
         if gateway.pool.get(record.id) is not state or record.leaving:
             raise UpstreamLeft("it left meanwhile")
-        standing = gateway.views.standing
-        if record.lapsing and not standing.hears_peers:
+        freshness = gateway.views.freshness
+        if record.lapsing and not freshness.peers_responsive:
             raise UpstreamLeft("its entry is gone, and nobody says why")
-        if standing.old:
+        if freshness.stale:
             raise UpstreamLeft("whether it left is not known any more")
-        self._job.view_age = standing.age
+        self._job.view_age = freshness.age
 
     def _note_load(self, state):
         """Count a job's prompt; return what the engine has to read with it."""
@@ -225,7 +225,7 @@
         if job.tokens is None:
             return 0
         unread = gateway.unread(state, job, self._clock.steady())
-        return gateway.loads.note_send(state, job.prefix, unread)
+        return gateway.loads.record_send(state, job.prefix, unread)
 
     def _relay(self, answer):
         """Return the Relay of an HttpAnswer."""
@@ -239,7 +239,7 @@
         job.tried.add(state.record.run)
         if not error.started:
             job.runs -= 1
-            self._repeats.give_back(job, attempt.tokens)
+            self._repeats.release_hedge(job, attempt.tokens)
         if isinstance(error, UpstreamLeft):
             job.sends -= 1
             self._log.note_send(job, state, "left", error)
@@ -255,13 +255,13 @@
         :param error: the UpstreamError that ended it, or None
         """
         if not attempt.closed:
-            self._crashes.finish(attempt.flight, error)
+            self._crashes.finish_run(attempt.flight, error)
             attempt.close()
 
     def _note_rejection(self, state, error):
         self._job.rejections += 1
         if error.misdirected:
-            state.note_failure(self._clock.steady(), weight=2)
+            state.record_failure(self._clock.steady(), weight=2)
             self._gateway.client.forget(state.record.address)
         self._log.note_send(self._job, state, "not_executed", error)
 
@@ -270,25 +270,25 @@
         if not error.started:
             self._job.failed_connections += 1
             weight = 2
-        state.note_failure(self._clock.steady(), weight)
+        state.record_failure(self._clock.steady(), weight)
         self._log.note_send(self._job, state, "failed", error)
 
     # Silence
 
     def _note_sign(self, attempt):
         """Count an upstream's silence from now on."""
-        attempt.silence_note = None
+        attempt.stall_note = None
         silence = self._silence(attempt)
-        attempt.silent_at = None
+        attempt.stalled_at = None
         if silence is not None:
-            attempt.silent_at = self._clock.steady() + silence
+            attempt.stalled_at = self._clock.steady() + silence
 
     def _silence(self, attempt):
         """Return the longest silence in seconds, None for any."""
         job = self._job
         if not self._can_run_again:
             return None
-        if attempt.begun and is_stream(attempt.answer):
+        if attempt.head_received and is_stream(attempt.answer):
             return EVENT_SILENCE
         if job.tokens is not None:
             return FIRST_EVENT_OBJECTIVES * job.route.objective
@@ -314,12 +314,12 @@
             self._drop,
         )
         winner = await race.run()
-        self._close_losers(race.racers, winner)
+        self._close_losers(race.attempts, winner)
         self._job.upstream = winner.state.record.id
-        if winner.proved:
+        if winner.usable:
             self._note_sign(winner)
         else:
-            winner.silent_at = self._clock.steady() + ASK_AGAIN
+            winner.stalled_at = self._clock.steady() + ASK_AGAIN
         return winner
 
     def _begin_beside(self, silent):
@@ -330,12 +330,12 @@
         job = self._job
         job.tried.add(silent.state.record.run)
         try:
-            tokens = self._repeats.take_beside(job, self._responder)
-        except RepeatRefused as refusal:
+            tokens = self._repeats.reserve_hedge(job, self._responder)
+        except RetryRefused as refusal:
             self._note_silence(silent, str(refusal))
-            silent.silent_at = self._clock.steady() + ASK_AGAIN
+            silent.stalled_at = self._clock.steady() + ASK_AGAIN
             return None
-        state = self._choose_among(self._repeats.candidates_beside(job))
+        state = self._choose_among(self._repeats.hedge_candidates(job))
         other = self._begin(state)
         other.tokens = tokens
         name = other.state.record.id
@@ -344,11 +344,11 @@
 
     def _note_silence(self, attempt, why):
         """Count a silence against its upstream; log what it leads to."""
-        if attempt.silence_note is None:
+        if attempt.stall_note is None:
             # What is new goes elsewhere for a while.
-            attempt.state.note_failure(self._clock.steady())
-        if attempt.silence_note != why:
-            attempt.silence_note = why
+            attempt.state.record_failure(self._clock.steady())
+        if attempt.stall_note != why:
+            attempt.stall_note = why
             self._log.note_send(self._job, attempt.state, "silent", why)
 
     def _close_losers(self, racers, winner):
--- a/rowanport/gateway/views.py
+++ b/rowanport/gateway/views.py
@@ -21,19 +21,19 @@
 from ..supervision import beat
 from ..tasks import TaskSet
 from .askers import Askers
-from .changes import ChangeLog
-from .changes import NO_LIST
-from .changes import UpstreamDelta
-from .followers import followers
-from .lapses import Lapses
-from .standing import ViewStanding
+from .expired_entries import RetainedUpstreams
+from .freshness_tracker import FreshnessTracker
+from .store_watchers import store_watchers
 from .upstream import UpstreamList
+from .upstream_delta import ChangeLog
+from .upstream_delta import NO_LIST
+from .upstream_delta import UpstreamDelta
 
 LOG = structlog.get_logger(__name__)
 
 # Seconds between two questions to peers: a change reaches all routers of a
 # cell in about three rounds.
-ASK_INTERVAL = 0.25
+POLL_INTERVAL = 0.25
 # Seconds for an answer: a router whose link is congested learns late, but it
 # learns, and a late answer tells it of its link.
 ASK_TIMEOUT = 3.0
@@ -57,14 +57,14 @@
     :param address: this router's peer address
     :param clock: a Clock
     :param clocks: the FleetClocks, which learn from each exchange
-    :param congestion: the Congestion, which does, too
-    :ivar standing: the ViewStanding, which tells how far they may be trusted
+    :param congestion: the CongestionDetector, which does, too
+    :ivar freshness: the FreshnessTracker of both
     :ivar on_answer: function that is called after each answer of a peer, or
         None
     :ivar tell: function of a peer's address and a message that sends the
         message on a connection that the peer has open
-    :ivar loads: the LoadNotes that ask and answer along with it, or None
-    :ivar crashes: the CrashNews that do, too, or None
+    :ivar loads: the LoadSync that asks and answers along with it, or None
+    :ivar crashes: the SuspectSync that does, too, or None
     :ivar limits: the RateLimits that do, too, or None
     """
 
@@ -83,11 +83,11 @@
         self._askers = Askers()
         self._changes = ChangeLog()
         self._list_wanted = False
-        self._lapses = Lapses()
+        self._retained = RetainedUpstreams()
         self._started = clock.steady()
         self._config_data = b""
         self._config_packed = b""
-        self.standing = ViewStanding(members, clock)
+        self.freshness = FreshnessTracker(members, clock)
         self.table = None
         self.upstreams = UpstreamList()
         self.on_table = None
@@ -99,16 +99,16 @@
         self.limits = None
 
     @property
-    def on_duty(self):
+    def watches_store(self):
         """Return whether this router follows the store, for others too.
 
         Where all routers stop none is left to do so: each does for itself.
         """
-        if self.young and self._leads:
+        if self.starting_up and self._leads:
             return True
         if self._clock.steady() < self._started + SEEDED_PAUSE:
             return False
-        duty = followers(self._members)
+        duty = store_watchers(self._members)
         return not duty or self._address in duty
 
     @property
@@ -125,13 +125,13 @@
         return not seeds or self._address in seeds
 
     @property
-    def young(self):
+    def starting_up(self):
         """Return whether this router may not know the fleet yet."""
         return self._clock.steady() < self._started + LEARN_SECONDS
 
     # What is known
 
-    def take_config(self, data, source):
+    def apply_config(self, data, source):
         """Take over a configuration if it is newer.
 
         :param data: its bytes as the store holds them
@@ -151,13 +151,13 @@
         LOG.info("config_in_force", version=table.version, source=source)
         self.on_table(table)
 
-    def take_upstreams(self, upstreams, source):
+    def apply_upstreams(self, upstreams, source):
         """Take over an UpstreamList if it is newer."""
         if upstreams.version > self.upstreams.version:
             self._take_list(upstreams, source)
 
     def _take_list(self, upstreams, source):
-        upstreams.upstreams = self._lapses.take(
+        upstreams.upstreams = self._retained.apply(
             upstreams.upstreams,
             self.upstreams.upstreams,
             self._clock.steady(),
@@ -182,7 +182,7 @@
 
     def _drop_lapsed(self):
         """Drop upstreams that were kept without an entry for too long."""
-        ended = self._lapses.end(self._clock.steady())
+        ended = self._retained.pop_overdue(self._clock.steady())
         if not ended:
             return
         known = self.upstreams
@@ -201,20 +201,20 @@
         """Answer a ViewAsk."""
         self._clocks.observe(message.asker, message.wall)
         suspects = SuspectNews(0, [])
-        age = round(1000 * self.standing.age)
-        away = round(1000 * self.standing.store_age)
+        age = round(1000 * self.freshness.age)
+        away = round(1000 * self.freshness.store_age)
         wall = self._clock.wall()
-        steady = self.standing.store_steady
+        steady = self.freshness.store_steady
         give = ViewGive(
             0, b"", 0, b"", wall, [], suspects, [], age, away, 0, steady
         )
         if self.loads is not None:
             seconds = message.recent / 1000
-            give.notes = self.loads.heard(seconds, message.asker)
+            give.notes = self.loads.recent(seconds, message.asker)
         if self.crashes is not None:
-            give.suspects = self.crashes.answer_news(message.suspects)
+            give.suspects = self.crashes.answer_poll(message.suspects)
         if self.limits is not None:
-            self.limits.hear(message.limits, message.asker)
+            self.limits.merge(message.limits, message.asker)
             give.limits = self.limits.rows()
         self._give_news(message, give)
         return give
@@ -229,11 +229,11 @@
         asker = self._askers.hear(ask.asker, ask.config, has, now)
         if ask.config < self._version:
             give.config = self._version
-            if asker.take_config(self._version, now):
+            if asker.begin_config_send(self._version, now):
                 give.config_data = self._pack_config()
         if has < self.upstreams.version:
             give.upstreams, give.step = self.upstreams.version
-            if asker.take_upstreams(self.upstreams.version, now):
+            if asker.begin_upstreams_send(self.upstreams.version, now):
                 give.upstream_data = self._pack_changes(has)
 
     def _pack_changes(self, base):
@@ -246,12 +246,12 @@
         """
         now = self._clock.steady()
         version = self.upstreams.version
-        duty = followers(self._members)
+        duty = store_watchers(self._members)
         packed = {}
         for address, asker in self._askers.recent(now):
             if address in duty:
                 continue
-            if asker.take_upstreams(version, now):
+            if asker.begin_upstreams_send(version, now):
                 base = asker.upstreams
                 if base not in packed:
                     packed[base] = self._pack_changes(base)
@@ -275,13 +275,13 @@
         try:
             while True:
                 beat()
-                self.standing.note_change()
+                self.freshness.log_change()
                 self._drop_lapsed()
                 for address in self._next_sources():
                     # Not awaited: one that is cut off would hold up the next.
                     if len(self._asks) < ASKS_AT_ONCE:
                         self._asks.spawn(self.ask(address))
-                await asyncio.sleep(ASK_INTERVAL)
+                await asyncio.sleep(POLL_INTERVAL)
         finally:
             self._asks.cancel()
 
@@ -293,7 +293,7 @@
         """
         sources = self._sources()
         free = [peer for peer in sources if not self._asked[peer]]
-        count = ASKS_WHEN_AGING if self.standing.aging else 1
+        count = ASKS_WHEN_AGING if self.freshness.aging else 1
         return (free or sources)[:count]
 
     def _sources(self):
@@ -301,10 +301,10 @@
 
         They are shuffled; any will do while no follower is known.
         """
-        ready = [address_of(peer) for peer in self._members.ready_others()]
-        duty = followers(self._members)
+        ready = [address_of(peer) for peer in self._members.ready_peers()]
+        duty = store_watchers(self._members)
         follow = [peer for peer in ready if peer in duty]
-        if follow and not self.standing.aging:
+        if follow and not self.freshness.aging:
             return follow
         sources = follow + [peer for peer in ready if peer not in duty]
         return sources or self._silent_sources(duty)
@@ -324,14 +324,14 @@
         :param timeout: longest wait in seconds
         """
         has = NO_LIST if self._list_wanted else self.upstreams.version
-        seconds = self.loads.begin_asking() if self.loads else 0.0
+        seconds = self.loads.advance_poll_window() if self.loads else 0.0
         ask = ViewAsk(
             self._version,
             has[0],
             self._address,
             self._clock.wall(),
             round(1000 * seconds),
-            self.crashes.ask_news() if self.crashes else SuspectNews(0, []),
+            self.crashes.build_poll() if self.crashes else SuspectNews(0, []),
             self.limits.rows() if self.limits else [],
             has[1],
         )
@@ -343,24 +343,24 @@
             )
         except PeerError as error:
             LOG.debug("views_unread", peer=address, error=str(error))
-            self._congestion.note_unanswered(self._clock.steady() - asked_at)
+            self._congestion.record_timeout(self._clock.steady() - asked_at)
             return
         finally:
             self._asked[address] -= 1
         if not isinstance(give, ViewGive):
             return
-        self.standing.note_answer(
+        self.freshness.record_peer_answer(
             asked_at, give.store_age / 1000, give.steady / 10
         )
         # Without the time in which a silent connection was found out.
-        self._congestion.note_round_trip(self._peers.last_trip(address))
+        self._congestion.record_round_trip(self._peers.last_trip(address))
         self._clocks.observe(address, give.wall)
         for note in give.notes:
-            self.loads.take(note)
+            self.loads.apply(note)
         if self.crashes is not None:
-            self.crashes.take_answer(give.suspects)
+            self.crashes.receive_answer(give.suspects)
         if self.limits is not None:
-            self.limits.hear(give.limits, address)
+            self.limits.merge(give.limits, address)
         if give.config_data:
             self._take_packed_config(give.config_data, address)
         if give.upstream_data:
@@ -368,7 +368,7 @@
         if self.on_answer is not None:
             self.on_answer()
         if self._has(give):
-            self.standing.confirm(asked_at - give.age / 1000, address)
+            self.freshness.confirm(asked_at - give.age / 1000, address)
 
     def _has(self, give):
         """Return whether all that a peer knew is known here."""
@@ -405,4 +405,4 @@
         except zlib.error as error:
             LOG.error("config_unreadable", source=address, error=str(error))
             return
-        self.take_config(data, address)
+        self.apply_config(data, address)
--- a/rowanport/prepaid/handoff.py
+++ b/rowanport/prepaid/handoff.py
@@ -104,7 +104,7 @@
 
     async def find_recipients(self):
         """Return ready peers that answer and accept tokens now."""
-        candidates = self._members.ready_others()[:MAX_CANDIDATES]
+        candidates = self._members.ready_peers()[:MAX_CANDIDATES]
         calls = [self._accepts_tokens(peer) for peer in candidates]
         answers = await asyncio.gather(*calls)
         recipients = [p for p, accepts in zip(candidates, answers) if accepts]
--- a/rowanport/prepaid/keeper.py
+++ b/rowanport/prepaid/keeper.py
@@ -441,7 +441,7 @@
         held = sorted(self._refill.held(), key=lambda account: -account.total)
         LOG.info(
             "budgets_held",
-            routers=1 + len(self._members.others()),
+            routers=1 + len(self._members.live_peers()),
             holders=len(self._holders.for_budget("")),
             held={
                 account.name: (account.available, account.store_remaining)
--- a/rowanport/router/daemon.py
+++ b/rowanport/router/daemon.py
@@ -19,9 +19,9 @@
 from ..incarnation import new_incarnation
 from ..ledger import LedgerKeeper
 from ..ledger import ReservationBook
-from ..ledger.allowance import Allowance
 from ..ledger.client import LedgerClient
 from ..ledger.orphans import RunUnknown
+from ..ledger.write_limiter import WriteLimiter
 from ..membership import Membership
 from ..membership import MembershipLoop
 from ..membership.members import LEAVING
@@ -41,9 +41,9 @@
 from ..web.client import Keepalive
 from ..wire import PeerServer
 from ..wire import Traffic
-from .callers import CallerFront
+from .callers import CallerServer
 from .chat import ChatRunner
-from .operators import OperatorFront
+from .operators import OperatorServer
 from .service import ServiceRunner
 
 LOG = structlog.get_logger(__name__)
@@ -103,7 +103,7 @@
         self.directory = InstanceDirectory(
             self._http, platform.store, name, platform.call_timeout
         )
-        self._allowance = Allowance(platform.writes_per_second)
+        self._allowance = WriteLimiter(platform.writes_per_second)
 
     def _build_peers(self, settings):
         secret = settings.router.secret
@@ -169,8 +169,8 @@
         services = ServiceClient(self._upstream_http, timeout)
         self.chat = ChatRunner(self, self._engines)
         self.service = ServiceRunner(self, services)
-        self.callers = CallerFront(self, settings)
-        self._operators = OperatorFront(self, settings)
+        self.callers = CallerServer(self, settings)
+        self._operators = OperatorServer(self, settings)
 
     # Groups and facts
 
@@ -360,7 +360,7 @@
         """Follow the number of live routers that share limits."""
         while True:
             count = len(self.members.live())
-            self._allowance.share(count)
+            self._allowance.set_router_count(count)
             self.metrics.live_routers.set({}, count)
             for group in self._groups.values():
                 group.pool.set_routers(count)
@@ -373,7 +373,7 @@
     @property
     def ready(self):
         """Return whether callers may come."""
-        return self.members.own.state == READY
+        return self.members.own_entry.state == READY
 
     async def start(self):
         """Listen, and become ready once a configuration is in force."""
--- a/test/prepaid_world.py
+++ b/test/prepaid_world.py
@@ -10,9 +10,7 @@
 import random
 from test.virtual import LoopClock
 from test.virtual import VirtualLoop
-
 import pytest
-
 from rowanport.errors import LeaseOver
 from rowanport.errors import PeerError
 from rowanport.errors import RequestError
@@ -162,10 +160,10 @@
     def live(self):
         return self._all()
 
-    def others(self):
+    def live_peers(self):
         return [name for name in self._all() if name != self._incarnation]
 
-    def ready_others(self):
+    def ready_peers(self):
         return [
             router.incarnation
             for router in self._world.routers.values()
@@ -182,7 +180,7 @@
         count = max(least, int(share * len(addresses)))
         return rendezvous(kind, addresses)[:count]
 
-    def is_unheard(self, address):
+    def is_presumed_live(self, address):
         return False
 
     def suspect_address(self, address):
--- a/test/test_prepaid_fleet.py
+++ b/test/test_prepaid_fleet.py
@@ -71,7 +71,7 @@
         world.start(f"10.0.1.{number}:1")
     world.advance(8.0)
     keeper = next(iter(world.routers.values())).keeper
-    with mock.patch.object(keeper._members, "others", lambda: []):
+    with mock.patch.object(keeper._members, "live_peers", lambda: []):
         assert len(keeper.holders(BUDGET)) == HOLDERS
     world.close()
 
--- a/test/test_prepaid_start.py
+++ b/test/test_prepaid_start.py
@@ -11,7 +11,6 @@
 from test.prepaid_world import FakeMembers
 from test.prepaid_world import World
 from unittest import mock
-
 from rowanport.hashing import rendezvous
 from rowanport.incarnation import address_of
 
@@ -33,13 +32,13 @@
     def _has_learned(self):
         return self._world.loop.now >= self._learned_at
 
-    def others(self):
-        return super().others() if self._has_learned else []
+    def live_peers(self):
+        return super().live_peers() if self._has_learned else []
 
-    def ready_others(self):
-        return super().ready_others() if self._has_learned else []
+    def ready_peers(self):
+        return super().ready_peers() if self._has_learned else []
 
-    def is_unheard(self, address):
+    def is_presumed_live(self, address):
         listed = set(rendezvous("store", FLEET)[:9])
         return not self._has_learned and address in listed
 
