--- a/rowanport/prepaid/loan_returns.py
+++ b/rowanport/prepaid/loan_returns.py
@@ -97,6 +97,6 @@
         reportable_spent = self._refill.reportable_spent(account)
         if reportable_spent > 0:
             share.spent[account.name] = reportable_spent
-            # Counted as reported before the answer.  Otherwise a NoLoan reply
-            # that includes these tokens would count them twice.
+            # Counted as reported before the answer, as counts received
+            # meanwhile may include these tokens.
             account.reported += reportable_spent
--- a/rowanport/prepaid/reply_cache.py
+++ b/rowanport/prepaid/reply_cache.py
@@ -12,7 +12,7 @@
     def __init__(self, clock, seconds):
         self._clock = clock
         self._seconds = seconds
-        self._replies = {}
+        self._known = {}
 
     def handle_once(self, key, handler, message):
         """Handle a message once, and return the same reply for repeats.
@@ -22,16 +22,16 @@
         """
         now = self._clock.steady()
         self._expire(now)
-        cached = self._replies.get(key)
-        if cached is not None:
-            return cached[0]
-        reply = handler(message)
-        self._replies[key] = (reply, now + self._seconds)
-        return reply
+        known = self._known.get(key)
+        if known is not None:
+            return known[0]
+        answer = handler(message)
+        self._known[key] = (answer, now + self._seconds)
+        return answer
 
     def _expire(self, now):
-        while self._replies:
-            oldest = next(iter(self._replies))
-            if self._replies[oldest][1] > now:
+        while self._known:
+            oldest = next(iter(self._known))
+            if self._known[oldest][1] > now:
                 return
-            del self._replies[oldest]
+            del self._known[oldest]
--- a/test/prepaid_world.py
+++ b/test/prepaid_world.py
@@ -10,7 +10,9 @@
 import random
 from test.virtual import LoopClock
 from test.virtual import VirtualLoop
+
 import pytest
+
 from rowanport.errors import LeaseOver
 from rowanport.errors import PeerError
 from rowanport.errors import RequestError
--- a/test/test_prepaid_start.py
+++ b/test/test_prepaid_start.py
@@ -11,6 +11,7 @@
 from test.prepaid_world import FakeMembers
 from test.prepaid_world import World
 from unittest import mock
+
 from rowanport.hashing import rendezvous
 from rowanport.incarnation import address_of
 
