--- a/rowanport/gateway/choice.py
+++ b/rowanport/gateway/choice.py
@@ -1,9 +1,13 @@
-"""Which upstream a request goes to.
+"""Load balancing: selects the upstream of each request.
 
-Engines: where its shared prompt is cached, as long as it is in time there;
-else where its first event should come first; among alike ones where streams
-lately came evenly.  What no engine begins in time is turned away.  Plain
-services: the least busy one, of the own data centre first.
+Engines: prefers those that have the shared prompt cached, as long as the
+expected time to the first event is within the objective there; otherwise the
+one with the shortest expected time to the first event.  Among equal ones it
+prefers engines whose recent streams had the fewest long pauses.  A request
+that no engine would begin in time is rejected.
+
+Plain services: the least busy upstream, with a preference for the local data
+centre.
 """
 
 import abc
@@ -12,56 +16,62 @@
 from ..hashing import rendezvous
 from ..scheduling import Overload
 
-# Part of the objective within which an engine counts as in time: the rest is
-# for the way, and for prompts that are not known of.
+# Share of the objective within which an engine's expected wait counts as in
+# time: the rest is for network latency and for prompts that this router has
+# not heard of.
 IN_TIME_SHARE = 0.7
-# Seconds by which waits have to differ to matter: an eighth of the shortest
-# objective.  Among alike ones all routers prefer the same engine.
-ALIKE_SECONDS = 0.075
-# Part of a shared prompt that the first engine in its order is taken to have
-# cached when nobody is known to have it, as after a restart of all routers.
-PRESUMED_SHARE = 0.5
-# Shared prompt tokens below which reading them again costs less than the
-# bytes between data centres: 1,000 are read in 20 ms.
-SHARED_LEAST = 1000
-# Levels of how unevenly streams come that are told apart; a better level
-# outweighs the bytes between data centres.
+# Waits are compared in steps of this many seconds, an eighth of the shortest
+# objective.  Within a step all routers prefer the same engine.
+TIE_SECONDS = 0.075
+# Share of a shared prompt that the first engine in its order is assumed to
+# have cached if no engine is known to, as after a restart of all routers.
+ASSUMED_CACHED_SHARE = 0.5
+# With fewer shared prompt tokens, reading them again costs less than traffic
+# between data centres: 1,000 tokens are read in 20 ms.
+MIN_SHARED_TOKENS = 1000
+# Number of levels into which the share of paused streams is divided.  A lower
+# level outweighs the cost of traffic between data centres.
 PAUSE_LEVELS = 4
-# Streams that this router may have at an engine against the mean of those
-# that it could be sent to; beyond it the next one in order is taken (bounded
-# loads, Mirrokni et al., 2016).  Routers agree on the order, so that else one
-# engine gets most.
-SPREAD = 1.25
-# Requests by which a plain upstream of the own data centre may be busier.
-NEAR_BONUS = 2
+# Most streams of this router at one engine, relative to the mean of all
+# candidates; beyond that the next engine in order is used (consistent hashing
+# with bounded loads, Mirrokni et al., 2016).  All routers use the same order,
+# so without a bound one engine would get most streams.
+LOAD_BOUND = 1.25
+# Requests by which a plain upstream of the local data centre may be busier
+# than a remote one and still be preferred.
+LOCAL_BONUS = 2
 
 
 class Choice(abc.ABC):
-    """Chooses among upstreams of one service."""
+    """A load-balancing policy for the upstreams of one service."""
 
     @abc.abstractmethod
     def choose(self, candidates, job, now):
-        """Return one of some UpstreamStates, at least one.
+        """Return the UpstreamState to which a job is sent.
 
-        :param job: the Job that goes there
-        :param now: steady time
+        :param candidates: UpstreamStates, at least one
+        :param job: the Job
+        :param now: monotonic time in seconds
         """
 
     def late_start(self, candidates, job, now):
-        """Return the LateStart of a job that nobody begins in time.
+        """Return the LateStart of a job that would begin too late everywhere.
 
-        :returns: None if one of some UpstreamStates should
+        :param candidates: UpstreamStates, at least one
+        :param job: the Job
+        :param now: monotonic time in seconds
+        :returns: None if a candidate should begin it in time
         """
         return None
 
 
 class PrefixChoice(Choice):
-    """For engines: keep equal prompts together while they are in time.
+    """Policy for engines: sends equal shared prompts to the same engines.
 
-    Prompts that share little go to even engines with few streams, of the own
-    data centre first.
+    It does so as long as these are in time.  Prompts with few shared tokens
+    go to engines with few streams and few pauses, local ones first.
 
-    :param data_centre: the own one
+    :param data_centre: name of this router's data centre
     :param prefixes: the PrefixMap
     """
 
@@ -72,12 +82,12 @@
 
     def late_start(self, candidates, job, now):
         overload = self._overloads.setdefault(job.service, Overload())
-        waits = [state.delay(now) for state in candidates]
+        delays = [state.delay(now) for state in candidates]
         objective = job.route.objective
-        return overload.late_start(waits, objective, job.priority, now)
+        return overload.late_start(delays, objective, job.priority, now)
 
     def choose(self, candidates, job, now):
-        if job.shared < SHARED_LEAST:
+        if job.shared < MIN_SHARED_TOKENS:
             state = self._choose_short(candidates, job, now)
         else:
             state = self._choose_long(candidates, job, now)
@@ -85,47 +95,50 @@
         return state
 
     def _choose_short(self, candidates, job, now):
-        """Choose by load and pauses first, then by the data centre."""
-        fit = self._less_loaded(self._in_time(candidates, job, now))
-        even = self._fewest_pauses(fit, now)
-        fit = self._near(even) or even or candidates
-        return self._soonest(fit, job, now)
+        """Select by load and pauses first, then by data centre."""
+        preferred = self._below_load_bound(self._in_time(candidates, job, now))
+        smooth = self._fewest_pauses(preferred, now)
+        preferred = self._local(smooth) or smooth or candidates
+        return self._earliest(preferred, job, now)
 
     def _choose_long(self, candidates, job, now):
-        """Choose by what is cached, if it is in time there."""
+        """Select an engine that has the shared prompt cached, if in time."""
         cached = self._cached(candidates, job, now)
         in_time = self._in_time(cached, job, now)
         if not in_time:
             in_time = self._in_time(candidates, job, now)
-        even = self._fewest_pauses(in_time, now)
-        # Where none is in time, reading a prompt again helps nobody.
-        return self._soonest(even or cached or candidates, job, now)
+        smooth = self._fewest_pauses(in_time, now)
+        # If no engine is in time, an engine without the prompt in its cache
+        # would only add load by reading it again.
+        return self._earliest(smooth or cached or candidates, job, now)
 
     def uncached_tokens(self, state, job, now):
-        """Return the prompt tokens that an engine has to read of a job."""
+        """Return how many prompt tokens of a job an engine has to read."""
         if state.record.id in self._prefixes.engines_with(job.prefix, now):
             return job.tokens.prompt - job.shared
         return job.tokens.prompt
 
     def _fewest_pauses(self, candidates, now):
-        """Return those whose streams lately came the most evenly."""
+        """Return the candidates with the lowest level of paused streams."""
         levels = [
             int(PAUSE_LEVELS * state.pacing.paused_share(now))
             for state in candidates
         ]
-        least = min(levels, default=0)
+        lowest = min(levels, default=0)
         return [
-            state for state, level in zip(candidates, levels) if level == least
+            state
+            for state, level in zip(candidates, levels)
+            if level == lowest
         ]
 
     @staticmethod
-    def _less_loaded(candidates):
-        """Return those with room for one more stream of this router."""
+    def _below_load_bound(candidates):
+        """Return the candidates below the bound on this router's streams."""
         total = 1 + sum(state.outstanding for state in candidates)
-        bound = math.ceil(SPREAD * total / max(1, len(candidates)))
+        bound = math.ceil(LOAD_BOUND * total / max(1, len(candidates)))
         return [s for s in candidates if s.outstanding < bound]
 
-    def _near(self, candidates):
+    def _local(self, candidates):
         return [
             state
             for state in candidates
@@ -144,30 +157,39 @@
             if state.wait(self.uncached_tokens(state, job, now), now) <= limit
         ]
 
-    def _soonest(self, candidates, job, now):
-        """Return whose first event comes first, by one order if alike."""
+    def _earliest(self, candidates, job, now):
+        """Return the candidate with the shortest expected first event time.
+
+        Ties are broken by rendezvous hashing, so that all routers agree.
+        """
         by_id = {state.record.id: state for state in candidates}
         order = rendezvous(job.affinity or job.id, by_id)
-        presumed = self._presumed(order[0], job, now)
+        assumed = self._assumed_cached(order[0], job, now)
 
         def weight(rank):
             state = by_id[order[rank]]
-            unread = self.uncached_tokens(state, job, now)
+            uncached = self.uncached_tokens(state, job, now)
             if rank == 0:
-                unread -= presumed
-            return int(state.wait(unread, now) / ALIKE_SECONDS), rank
+                uncached -= assumed
+            return int(state.wait(uncached, now) / TIE_SECONDS), rank
 
         return by_id[order[min(range(len(order)), key=weight)]]
 
-    def _presumed(self, first, job, now):
-        """Return the tokens that the first engine may have cached unheard."""
+    def _assumed_cached(self, first, job, now):
+        """Return how many tokens the first engine is assumed to have cached.
+
+        That is 0 if some engine is known to have the prompt cached.
+        """
         if self._prefixes.engines_with(job.prefix, now):
             return 0
-        return int(PRESUMED_SHARE * job.shared)
+        return int(ASSUMED_CACHED_SHARE * job.shared)
 
 
 class NearestChoice(Choice):
-    """For plain services: the least busy, near ones first."""
+    """Policy for plain services: the least busy one, local ones first.
+
+    :param data_centre: name of this router's data centre
+    """
 
     def __init__(self, data_centre):
         self._data_centre = data_centre
@@ -178,8 +200,8 @@
         rank = {name: index for index, name in enumerate(order)}
 
         def weight(state):
-            near = state.record.data_centre == self._data_centre
-            busy = state.outstanding - (NEAR_BONUS if near else 0)
-            return max(0, busy), not near, rank[state.record.id]
+            local = state.record.data_centre == self._data_centre
+            busy = state.outstanding - (LOCAL_BONUS if local else 0)
+            return max(0, busy), not local, rank[state.record.id]
 
         return min(candidates, key=weight)
--- a/rowanport/gateway/congestion.py
+++ b/rowanport/gateway/congestion.py
@@ -1,8 +1,8 @@
-"""Whether the own network link is congested.
+"""Detects congestion of this router's own network link.
 
-A router whose link is full delays all that it passes on, small requests as
-well as large ones, and cannot reach peers or upstreams in time.  Callers that
-are refused at once are served by other routers.
+A router with a saturated link delays all traffic, small requests as well as
+large ones, and cannot reach peers or upstreams in time.  Large requests are
+therefore rejected at once, so that their callers retry at other routers.
 """
 
 import collections
@@ -11,21 +11,22 @@
 
 LOG = structlog.get_logger(__name__)
 
-# Round trip to a peer in seconds from which on it counts as slow: within a
-# region one takes less than 10 ms.
+# A longer round trip to a peer (in seconds) counts as slow: within a region
+# one takes less than 10 ms.
 SLOW_ROUND_TRIP = 0.04
-# Round trips in a row, to peers chosen at random, that must all be slow: one
-# or two peers may be slow themselves.
+# Number of consecutive round trips, to random peers, that must all be slow:
+# one or two peers may be slow themselves.
 SLOW_SAMPLES = 3
-# Age in seconds up to which a round trip tells anything.
+# Older round trips (in seconds) are ignored.
 MAX_SAMPLE_AGE = 5.0
-# Bytes of a body from which on a request is a load for the link: prompts have
-# several thousand, requests for plain services some hundred.
+# Requests with a body of at least this many bytes are rejected while the link
+# is congested: prompts have several thousand bytes, requests for plain
+# services a few hundred.
 LARGE_BODY = 4000
 
 
 class CongestionDetector:
-    """What round trips tell of the own link.
+    """Infers congestion of the own link from round trips to peers.
 
     :param clock: a Clock
     """
@@ -36,7 +37,10 @@
         self._was_congested = False
 
     def record_round_trip(self, seconds):
-        """Note how long a peer took to answer a small question."""
+        """Record how long a peer took to answer a small request.
+
+        :param seconds: round-trip time
+        """
         self._round_trips.append((seconds, self._clock.steady()))
         if self.congested != self._was_congested:
             self._was_congested = self.congested
@@ -46,17 +50,18 @@
             )
 
     def record_timeout(self, seconds):
-        """Note that a peer did not answer within some seconds.
+        """Record that a peer did not answer within some seconds.
 
-        By itself that tells nothing: the peer may be gone, or cut off.  On a
-        link that is known to be congested it is one more slow answer.
+        On its own this says nothing about the link, as the peer may be down
+        or partitioned.  While the link is congested it counts as one more
+        slow round trip.
         """
         if self.congested:
             self.record_round_trip(seconds)
 
     @property
     def congested(self):
-        """Return whether the link is too full for large requests."""
+        """Return whether the link is too congested for large requests."""
         if len(self._round_trips) < SLOW_SAMPLES:
             return False
         oldest = self._clock.steady() - MAX_SAMPLE_AGE
@@ -66,5 +71,5 @@
         )
 
     def should_refuse(self, request):
-        """Return whether an HttpRequest should go to another router."""
+        """Return whether an HttpRequest should be left to another router."""
         return len(request.body) >= LARGE_BODY and self.congested
--- a/rowanport/gateway/load_history.py
+++ b/rowanport/gateway/load_history.py
@@ -1,16 +1,17 @@
-"""What routers of a larger fleet sent lately, for those that ask."""
+"""Buffers recent LoadNotes of a large fleet for the routers that poll."""
 
 import collections
 
-# Seconds for which notes are kept: routers ask four times a second.
+# Seconds for which LoadNotes are kept: routers poll four times a second.
 KEEP_SECONDS = 1.0
-# Notes in one answer, the largest prompts first: at four answers a second
-# 1.9 KB/s of the 5 KB/s that control may cost a router that asks.
+# Most LoadNotes in one answer, those of the largest prompts first: at four
+# answers a second they take 1.9 KB/s of the 5 KB/s allowed for control traffic
+# of a router that polls.
 ANSWER_LIMIT = 16
 
 
 class LoadHistory:
-    """Keeps LoadNotes for a while.
+    """LoadNotes of the last KEEP_SECONDS.
 
     :param clock: a Clock
     """
@@ -20,21 +21,26 @@
         self._notes = collections.deque()
 
     def add(self, note):
-        """Keep a LoadNote that was just heard."""
+        """Add a LoadNote that was just received."""
         now = self._clock.steady()
         self._notes.append((now, note))
         while self._notes[0][0] < now - KEEP_SECONDS:
             self._notes.popleft()
 
     def recent(self, seconds, asker):
-        """Return the notes of some last seconds, without an asker's own."""
+        """Return LoadNotes of the last seconds, the largest prompts first.
+
+        :param seconds: length of the time span
+        :param asker: peer address of the router that polls; its own
+            LoadNotes are left out
+        """
         if seconds <= 0:
             return []
         begin = self._clock.steady() - seconds
         notes = [
             note
-            for heard, note in self._notes
-            if heard > begin and note.sender != asker
+            for received_at, note in self._notes
+            if received_at > begin and note.sender != asker
         ]
         notes.sort(key=lambda note: -note.tokens)
         return notes[:ANSWER_LIMIT]
--- a/rowanport/gateway/load_sync.py
+++ b/rowanport/gateway/load_sync.py
@@ -1,13 +1,14 @@
-"""Tells peers of long prompts, so that they do not meet at one engine.
+"""Announces long prompts to peers, so that they do not all pick one engine.
 
-Each router sees only its own requests.  Eight routers that each believe an
-engine idle send it eight prompts at once, and all of them are late.  So a
-router tells its peers of each long prompt as it sends it.  A note that is
-lost costs a worse choice, nothing else; nobody waits for one.
+Each router sees only its own requests.  If eight routers each believe that an
+engine is idle, they send it eight prompts at once, and all of these are late.
+Therefore a router sends its peers a LoadNote for each long prompt.  Delivery
+is best-effort: nothing waits for a LoadNote, and a lost one only leads to a
+worse choice of engine.
 
-Notes go out on connections that are open.  In a larger fleet these are few, so
-notes go to the routers that follow the store; the others hear them from these
-with the answers to the questions that they ask anyway.
+LoadNotes are only sent on open connections.  In a large fleet a router has few
+of these, so it sends to the routers that follow the store; the others receive
+the LoadNotes in the answers when they poll these for changes.
 """
 
 import random
@@ -19,22 +20,23 @@
 from .followers import followers
 from .load_history import LoadHistory
 
-# Prompt tokens below which a send is not told: they are read in 50 ms, one
-# twelfth of the shortest objective.
+# Sends with fewer prompt tokens to read are not announced: an engine reads
+# 2,000 tokens in 50 ms, one twelfth of the shortest objective.
 MIN_ANNOUNCED_TOKENS = 2000
-# Notes that a router sends a second, and with that hears: all peers are told
-# in the fleets of today, a sample in larger ones.  At 33 bytes a note this is
-# half of the 5 KB/s that control may cost.
+# LoadNotes that a router sends per second, and so receives: enough for all
+# peers in present fleets, for a sample of them in larger ones.  At 33 bytes
+# each this is half of the 5 KB/s allowed for control traffic.
 ANNOUNCEMENTS_PER_SECOND = 75
-# Peers that are told at least.
+# Minimum number of peers that receive an announcement.
 MIN_FANOUT = 8
-# Half life in seconds of the rate of sends by which the sample is sized.
+# Half-life in seconds of the moving rate of sends that determines the sample
+# size.
 RATE_HALF_LIFE = 5.0
 RATE_LEAST_AGE = 2.0
 
 
 class LoadSync:
-    """Keeps backlogs and cached prompts by what this router and peers send.
+    """Updates backlogs and the prefix map with sends of this router and peers.
 
     :param pool: the UpstreamPool
     :param prefixes: the PrefixMap
@@ -52,16 +54,17 @@
         self._clock = clock
         self._address = address
         self._history = LoadHistory(clock)
-        self._asked_at = clock.steady()
+        self._polled_until = clock.steady()
         self._rate = DecayingRate(RATE_HALF_LIFE, RATE_LEAST_AGE)
 
     def record_send(self, state, prefix, unread):
-        """Count a send of this router and tell peers of it.
+        """Record a send of this router and announce it to peers.
 
-        :param state: the UpstreamState that it goes to
-        :param prefix: hash of its shared prompt
-        :param unread: prompt tokens that the engine has to read
-        :returns: prompt tokens that the engine has to read with it
+        :param state: UpstreamState of the engine
+        :param prefix: hash of the shared prompt
+        :param unread: prompt tokens of the request that the engine has to read
+        :returns: prompt tokens that the engine has to read in all, those of
+            the request included
         """
         now = self._clock.steady()
         if unread >= MIN_ANNOUNCED_TOKENS:
@@ -72,49 +75,58 @@
         return state.backlog.add(unread, now)
 
     def _listeners(self, now):
-        """Count a note that is about to be sent; return who is told."""
+        """Count an announcement; return the addresses that receive it."""
         count = self._fanout(now)
-        if self._is_large:
+        if self._is_large_fleet:
             peers = followers(self._members)
             return random.sample(peers, min(count, len(peers)))
         return map(address_of, self._members.ready_others()[:count])
 
     @property
-    def _is_large(self):
-        """Return whether most routers hear of sends from those that follow."""
+    def _is_large_fleet(self):
+        """Return whether most routers poll followers for announcements."""
         return len(self._members.others()) > DIRECT_FLEET
 
     def _fanout(self, now):
-        """Count a note that is about to be sent; return to how many peers."""
+        """Count an announcement; return how many peers receive it."""
         self._rate.add(1, now)
         return max(
             MIN_FANOUT, int(ANNOUNCEMENTS_PER_SECOND / self._rate.rate(now))
         )
 
     def advance_poll_window(self):
-        """Return for which last seconds to ask for notes, 0 for none.
+        """Return the time span in seconds for which to poll LoadNotes.
 
-        The next question begins where this one ends: what is lost with its
-        answer is not asked for again.
+        The next poll covers the time after this call, so that LoadNotes in a
+        lost answer are not requested again.
+
+        :returns: 0 if this router receives announcements directly
         """
         now = self._clock.steady()
-        seconds = now - self._asked_at
-        self._asked_at = now
-        if not self._is_large or self._address in followers(self._members):
+        seconds = now - self._polled_until
+        self._polled_until = now
+        if not self._is_large_fleet or self._address in followers(
+            self._members
+        ):
             return 0.0
         return seconds
 
     def recent(self, seconds, asker):
-        """Return the notes heard in some last seconds, not the asker's."""
+        """Return the LoadNotes received within the last seconds.
+
+        :param seconds: length of the time span
+        :param asker: peer address of the router that polls; its own
+            LoadNotes are left out
+        """
         return self._history.recent(seconds, asker)
 
     def receive(self, note):
-        """Take in a LoadNote of its sender, and keep it for others."""
+        """Apply a LoadNote of its sender, and keep it for peers that poll."""
         self._history.add(note)
         self.apply(note)
 
     def apply(self, note):
-        """Take in a LoadNote."""
+        """Update the prefix map and the engine's backlog by a LoadNote."""
         now = self._clock.steady()
         self._prefixes.record(note.prefix, note.upstream, now)
         state = self._pool.get(note.upstream)
--- a/rowanport/gateway/stream_pauses.py
+++ b/rowanport/gateway/stream_pauses.py
@@ -1,18 +1,21 @@
-"""How evenly an engine's streams came lately, as one router saw them."""
+"""Which of an engine's recent streams paused, as one router saw them."""
 
 import collections
 
-# Streams that are looked at, and seconds after which one is forgotten: an
-# engine that is slow now may not be so later.
+# Number of recent streams that count, and seconds after which a stream no
+# longer counts: an engine that is slow now may recover.
 TRACKED_STREAMS = 8
 KEEP_SECONDS = 20.0
-# Streams that are presumed to have come evenly: one late stream alone says
-# little of an engine.
+# Pseudo-count of streams without a pause (additive smoothing): a single paused
+# stream says little about an engine.
 ASSUMED_SMOOTH = 2
 
 
 class _Stream:
-    """One stream, whose Job is held only as long as it may change."""
+    """A recent stream.
+
+    The reference to its Job is dropped once ``paused`` is final.
+    """
 
     __slots__ = ("until", "paused", "_job")
 
@@ -22,7 +25,7 @@
         self._job = job
 
     def update(self):
-        """Look at its pauses so far."""
+        """Update ``paused`` by the longest pause so far."""
         job = self._job
         if job is None:
             return
@@ -32,7 +35,7 @@
 
 
 class StreamPauses:
-    """The streams that this router last sent to an engine."""
+    """The streams that this router recently sent to one engine."""
 
     __slots__ = ("_streams",)
 
@@ -40,17 +43,18 @@
         self._streams = collections.deque(maxlen=TRACKED_STREAMS)
 
     def track(self, job, now):
-        """Look at a Job's pauses from now on.
+        """Track the pauses of a Job's stream from now on.
 
-        A stream that goes on here has paused elsewhere.
+        A stream that is resumed here is not tracked: its pause so far was at
+        another engine.
 
-        :param now: steady time
+        :param now: monotonic time in seconds
         """
         if job.route.gap_objective and not job.events:
             self._streams.append(_Stream(job, now + KEEP_SECONDS))
 
     def paused_share(self, now):
-        """Return the share of streams with a pause over their objective."""
+        """Return the share of streams with a pause above their objective."""
         while self._streams and self._streams[0].until < now:
             self._streams.popleft()
         for stream in self._streams:
--- a/test/test_choice.py
+++ b/test/test_choice.py
@@ -1,4 +1,4 @@
-"""Which engine a prompt goes to, and what routers tell each other of it."""
+"""Selection of engines for prompts, and announcements of sends to peers."""
 
 import asyncio
 
@@ -43,7 +43,7 @@
 
 
 class FakePeers:
-    """Hands notes to the other routers at once."""
+    """Delivers LoadNotes to other routers immediately."""
 
     def __init__(self):
         self.routers = {}
@@ -71,7 +71,7 @@
 
 
 class FakeRouter:
-    """What one router knows of the engines."""
+    """A router's view of the engines, without a network."""
 
     def __init__(self, clock, peers, name, others=()):
         self.clock = clock
@@ -97,7 +97,7 @@
         peers.routers[name] = self
 
     def send(self, job):
-        """Choose an engine for a job, send it there, return its id."""
+        """Send a job to the engine chosen for it; return the engine's id."""
         now = self.clock.now
         candidates = self.pool.candidates(SERVICE, (), now)
         state = self.choice.choose(candidates, job, now)
@@ -149,12 +149,12 @@
     assert pending.tokens(12.0) == 0
 
 
-def test_an_engine_that_was_slow_is_taken_for_slow():
+def test_the_rate_follows_measurements_within_bounds():
     pending = Backlog()
     for _send in range(20):
         pending.update_rate(10000, 10000 / (DEFAULT_RATE / 4))
     assert pending.rate == pytest.approx(DEFAULT_RATE / 4, rel=0.01)
-    # A small prompt says nothing of the rate, nor does one that was cached.
+    # Small prompts and cached ones do not change the rate.
     pending.update_rate(backlog.MIN_MEASURED_TOKENS - 1, 9.0)
     pending.update_rate(10000, 0.0)
     assert pending.rate == pytest.approx(DEFAULT_RATE / 4, rel=0.01)
@@ -166,13 +166,13 @@
 # Choice
 
 
-def test_a_prompt_goes_where_it_is_cached(router):
+def test_a_prompt_goes_to_the_engine_that_has_it_cached(router):
     first = router.send(make_job())
     router.clock.now += 2.0
     assert {router.send(make_job()) for _send in range(3)} == {first}
 
 
-def test_an_engine_is_left_once_a_prompt_would_be_late_there(router):
+def test_another_engine_is_used_once_a_prompt_would_be_late(router):
     sends = [router.send(make_job()) for _send in range(6)]
     assert sends[0] == sends[1] == sends[2]
     assert len(set(sends)) > 1
@@ -185,7 +185,7 @@
     assert router.send(make_job()) == first
 
 
-def test_prompts_that_nobody_has_cached_spread_over_the_engines(router):
+def test_uncached_prompts_spread_over_the_engines(router):
     sends = [router.send(make_job(f"prompt-{n}")) for n in range(4)]
     assert len(set(sends)) == 4
 
@@ -197,7 +197,7 @@
     assert router.send(job) == order[0]
 
 
-def test_a_cached_prompt_is_forgotten_after_a_while(clock, router):
+def test_a_cached_prompt_expires(clock, router):
     router.prefixes.record(1, "e1", clock.now)
     assert set(router.prefixes.engines_with(1, clock.now)) == {"e1"}
     assert not router.prefixes.engines_with(1, clock.now + KEEP_SECONDS + 1)
@@ -212,18 +212,18 @@
     assert router.send(short) not in near
 
 
-# What happened: on a deployment whose engines differ in speed, a quarter of
-# the short prompts came late though no first event did: on the quiet day 180
-# of 860 had a pause over their objective of 300 ms, 122 of them at two of six
-# engines (47 of 65 and 75 of 188).  Sequence: an engine slower than others
-# reads a long prompt in pieces between the tokens of its streams; three such
-# steps, an event, take longer than the objective; the next short prompt goes
-# there again.  Cause: only the wait for the first event was looked at.
-# Settled by first_ms, pause_ms and upstream in the lines of the requests.
+# Guards against streams that pause although their first events are in time.
+# A slow engine reads a long prompt in pieces between the tokens of its
+# streams; three such steps, which make one event, took longer than the
+# objective of 300 ms.  As only the wait for the first event was considered,
+# the next short prompt went to the same engine.  On a deployment with engines
+# of different speed, on a day of low load, 180 of 860 short prompts had such a
+# pause, 122 of them at two of six engines (47 of 65 and 75 of 188).  It shows
+# in first_ms, pause_ms and upstream of the "request" log lines.
 
 
 def send_short(router, pause=0.0, count=1):
-    """Send short prompts whose streams pause; return where they went."""
+    """Send short prompts whose streams pause; return their engines."""
     sends = []
     for _send in range(count):
         job = make_job("label", shared=300, own=100, gap_objective=0.3)
@@ -234,21 +234,21 @@
 
 
 def test_short_prompts_leave_an_engine_whose_streams_pause(clock, router):
-    (slow,) = send_short(router, pause=0.4)
-    (other,) = {"e1", "e3"} - {slow}
+    (paused,) = send_short(router, pause=0.4)
+    (other,) = {"e1", "e3"} - {paused}
     assert set(send_short(router, count=4)) == {other}
-    # Sooner to another data centre than to one that pauses.
+    # Another data centre is preferred to engines with pauses.
     for _stream in range(stream_pauses.TRACKED_STREAMS):
-        follow_pause(router, slow)
-        follow_pause(router, other)
-    assert not set(send_short(router, count=4)) & {slow, other}
+        record_pause(router, paused)
+        record_pause(router, other)
+    assert not set(send_short(router, count=4)) & {paused, other}
 
 
-def test_one_pause_among_many_even_streams_says_nothing(router):
-    even = send_short(router, count=4)
-    assert len(set(even)) == 1
-    assert send_short(router, pause=0.4) == even[:1]
-    assert send_short(router) == even[:1]
+def test_one_pause_among_many_streams_changes_nothing(router):
+    engines = send_short(router, count=4)
+    assert len(set(engines)) == 1
+    assert send_short(router, pause=0.4) == engines[:1]
+    assert send_short(router) == engines[:1]
 
 
 def test_pauses_everywhere_change_nothing(clock, router):
@@ -256,43 +256,43 @@
     assert set(send_short(router, count=4)) <= {"e1", "e3"}
 
 
-def test_a_pause_is_forgotten_after_a_while(clock, router):
-    slow = send_short(router, pause=0.4)
+def test_a_pause_expires(clock, router):
+    paused = send_short(router, pause=0.4)
     clock.now += stream_pauses.KEEP_SECONDS + 1
-    assert send_short(router) == slow
+    assert send_short(router) == paused
 
 
-def test_a_long_prompt_goes_to_the_even_one_of_those_that_have_it(router):
+def test_a_long_prompt_goes_to_the_cache_with_the_fewest_pauses(router):
     for name in ("e1", "e2"):
         router.prefixes.record(hash_of("night"), name, router.clock.now)
     first = router.send(make_job())
     (other,) = {"e1", "e2"} - {first}
     router.clock.now += 2.0
-    follow_pause(router, first)
+    record_pause(router, first)
     assert router.send(make_job()) == other
-    # Reading it again elsewhere costs more than a pause.
-    follow_pause(router, other)
+    # Reading the prompt again at another engine costs more than a pause.
+    record_pause(router, other)
     router.clock.now += 2.0
     assert router.send(make_job()) in ("e1", "e2")
 
 
-def follow_pause(router, engine):
-    """Let a stream pause too long at an engine."""
+def record_pause(router, engine):
+    """Record a stream at an engine with a pause above its objective."""
     job = make_job(gap_objective=0.3)
     router.pool.get(engine).pacing.track(job, router.clock.now)
     job.longest_pause = 0.4
 
 
-def test_a_stream_that_goes_on_elsewhere_did_not_pause_there():
+def test_pauses_before_a_stream_is_resumed_do_not_count():
     job = make_job(gap_objective=0.3)
     job.events = 3
     job.longest_pause = 1.5
-    moved = stream_pauses.StreamPauses()
-    moved.track(job, 100.0)
-    assert moved.paused_share(100.0) == 0
+    pauses = stream_pauses.StreamPauses()
+    pauses.track(job, 100.0)
+    assert pauses.paused_share(100.0) == 0
 
 
-def test_plain_upstreams_are_chosen_by_what_runs_there(router):
+def test_plain_upstreams_are_chosen_by_outstanding_requests(router):
     candidates = router.pool.candidates(SERVICE, (), 100.0)
     choice = NearestChoice("hall-0")
     job = make_job()
@@ -304,11 +304,11 @@
     assert choice.choose(candidates, job, 100.0).record.data_centre == "hall-1"
 
 
-# Notes to peers
+# Announcements to peers
 
 
-def meet(clock, count, told):
-    """Let routers send a prompt each at once; return sends to one engine."""
+def most_sends_to_one(clock, count, told):
+    """Send two prompts per router at once; return the most per engine."""
     peers = FakePeers()
     names = [f"r{number}" for number in range(count)]
     routers = [
@@ -324,14 +324,14 @@
     return [f"x/{name}/1" for name in names if told and name != own]
 
 
-def test_routers_that_tell_each_other_do_not_meet_at_one_engine(clock):
-    # Before, each saw its own sends only: eight prompts of one moment met at
-    # one engine, and the first events of all of them were late.
-    assert meet(clock, 6, told=True) == 3
-    assert meet(clock, 6, told=False) > 3
+def test_announcements_keep_routers_from_choosing_one_engine(clock):
+    # When each router knew only its own sends, eight concurrent prompts went
+    # to one engine, and the first events of all of them were late.
+    assert most_sends_to_one(clock, 6, told=True) == 3
+    assert most_sends_to_one(clock, 6, told=False) > 3
 
 
-def test_short_prompts_are_not_told(clock):
+def test_short_prompts_are_not_announced(clock):
     peers = FakePeers()
     peers.routers["r2"] = FakeRouter(clock, peers, "other")
     router = FakeRouter(clock, peers, "one", ["x/r2/1"])
@@ -341,7 +341,7 @@
     assert [note.tokens for note in peers.told] == [MIN_ANNOUNCED_TOKENS]
 
 
-def test_notes_of_a_busy_router_reach_a_sample(clock):
+def test_a_busy_router_announces_to_a_sample_of_peers(clock):
     peers = FakePeers()
     names = [f"r{number}" for number in range(100)]
     for name in names:
@@ -357,7 +357,7 @@
     )
 
 
-def test_a_note_of_an_upstream_that_is_not_listed_changes_nothing(router):
+def test_an_announcement_of_an_unlisted_upstream_is_ignored(router):
     router.notes.apply(LoadNote("gone", 1, 5000, "peer"))
     assert all(
         router.pool.get(name).backlog.tokens(100.0) == 0 for name in ENGINES
@@ -377,7 +377,7 @@
         port = server._server.sockets[0].getsockname()[1]
         address = f"127.0.0.1:{port}"
         peers = PeerClient("x/y/1", "secret")
-        # Without a connection it is lost.
+        # Without an open connection the message is dropped.
         peers.tell([address], LoadNote("lost", 1, 1, "own"))
         await peers.call(address, Ack(), 5.0)
         peers.tell([address], LoadNote("e1", 2, 3, "own"))
--- a/test/test_congestion.py
+++ b/test/test_congestion.py
@@ -1,4 +1,4 @@
-"""A router whose own link is congested sends large requests elsewhere."""
+"""A router with a congested network link rejects large requests."""
 
 import asyncio
 from test.platform_world import Platform
@@ -20,14 +20,14 @@
     return congestion.congested
 
 
-def test_one_slow_peer_is_no_congestion():
+def test_single_slow_round_trips_are_not_congestion():
     assert not congested()
     assert not congested(SLOW)
     assert not congested(*[SLOW] * SLOW_SAMPLES, 0.003)
     assert congested(0.003, *[SLOW] * SLOW_SAMPLES)
 
 
-def test_old_round_trips_tell_nothing():
+def test_old_round_trips_are_ignored():
     clock = ManualClock(0.0)
     congestion = CongestionDetector(clock)
     for _number in range(SLOW_SAMPLES):
@@ -36,7 +36,7 @@
     assert not congestion.congested
 
 
-def test_silence_keeps_a_link_congested_but_does_not_make_it_so():
+def test_time_outs_count_only_while_the_link_is_congested():
     clock = ManualClock(0.0)
     congestion = CongestionDetector(clock)
     for _number in range(SLOW_SAMPLES):
@@ -52,9 +52,9 @@
     assert not congestion.congested
 
 
-def test_large_requests_are_refused_at_once_and_small_ones_served():
-    # Found on the bench: one caller's prompts filled a link of 10 Mbit/s;
-    # small requests beside them were answered after their time, or never.
+def test_large_requests_are_rejected_and_small_ones_served():
+    # Found on the bench: the prompts of one caller saturated a link of
+    # 10 Mbit/s, and small requests missed their deadlines or got no answer.
     async def run():
         async with Platform() as platform:
             for _number in range(SLOW_SAMPLES):
--- a/test/test_engine_load.py
+++ b/test/test_engine_load.py
@@ -1,4 +1,4 @@
-"""Load at its worst, replayed before modelled engines with the real choice."""
+"""Overload patterns, replayed against simulated engines with real routing."""
 
 import functools
 import statistics
@@ -17,7 +17,7 @@
 from rowanport.scheduling.overload import LESS_URGENT_SHARE
 from rowanport.scheduling.overload import RANK_SECONDS
 
-# Few plays, so what is compared has to differ by more than their spread.
+# Few runs, so compared values have to differ by more than their deviation.
 SEEDS = (0, 1, 2, 3)
 SECONDS = 24.0
 
@@ -42,33 +42,34 @@
     return statistics.fmean(one.refused(kind) for one in outcomes)
 
 
-def take_all(*_args):
-    """Turn nothing away, whatever the load."""
+def reject_nothing(*_args):
+    """Reject nothing, whatever the load."""
 
 
-def test_few_engines_serve_more_where_the_late_are_turned_away():
-    # Three engines get half as much again as they read.  Taken all, prompts
-    # queue up to their callers' patience, and nearly all come late.
-    without = play_without("few", PrefixChoice, "late_start", take_all)
+def test_too_few_engines_earn_more_if_late_prompts_are_rejected():
+    # Three engines get 1.5 times the load that they can read.  If nothing is
+    # rejected, prompts queue until their callers give up, and nearly all are
+    # late.
+    without = play_without("few", PrefixChoice, "late_start", reject_nothing)
     assert credit(play("few")) > credit(without) + 0.05
 
 
-def test_a_jump_of_users_that_engines_bear_turns_few_away():
-    # Twice the users for 8 s: most are late, but nothing queues up for long.
-    without = play_without("jump", PrefixChoice, "late_start", take_all)
+def test_a_short_burst_of_users_leads_to_few_rejections():
+    # Twice the users for 8 s: most prompts are late, but queues stay short.
+    without = play_without("jump", PrefixChoice, "late_start", reject_nothing)
     assert credit(play("jump")) > credit(without) - 0.02
     assert refused(play("jump"), LONG) < 0.02
 
 
 @pytest.mark.parametrize("pattern", ["mixed", "hot-key", "restart", "leaving"])
-def test_nobody_is_turned_away_where_engines_suffice(pattern):
+def test_nothing_is_rejected_if_there_are_enough_engines(pattern):
     outcomes = play(pattern)
     assert refused(outcomes, LONG) < 0.01
     assert refused(outcomes, SHORT) < 0.01
 
 
-def test_more_urgent_prompts_are_not_turned_away_much_more_often():
-    # Long prompts are the more urgent ones here, and are due sooner.
+def test_urgent_prompts_are_not_rejected_much_more_often():
+    # Long prompts have the higher priority here, and a shorter objective.
     outcomes = play("few")
     assert refused(outcomes, LONG) <= refused(outcomes, SHORT) + 0.05
     without = play_without("few", Overload, "_note_rank", _forget_ranks)
@@ -80,25 +81,28 @@
     self._most_urgent = rank
 
 
-def test_lag_seen_at_first_events_tells_of_what_nobody_told():
-    # Short prompts are not told of, and fill engines all the same.
+def test_the_lag_of_first_events_covers_unannounced_work():
+    # Short prompts are not announced, but occupy engines as well.
     without = play_without("few", Backlog, "lag", lambda _self, _now: 0.0)
     assert credit(play("few")) > credit(without)
 
 
 @pytest.mark.parametrize("pattern", ["jump", "slow"])
-def test_no_engine_gets_most_streams_of_a_router(pattern):
-    # Routers agree on which engine comes first, so that one would get most.
+def test_the_load_bound_spreads_streams_over_engines(pattern):
+    # All routers use the same order, so one engine would get most streams.
     without = play_without(
-        pattern, PrefixChoice, "_less_loaded", staticmethod(lambda some: some)
+        pattern,
+        PrefixChoice,
+        "_below_load_bound",
+        staticmethod(lambda some: some),
     )
     assert credit(play(pattern)) > credit(without)
 
 
 @pytest.mark.parametrize("pattern", ["mixed", "hot-key"])
-def test_streams_go_where_streams_came_evenly(pattern):
-    # Two of six engines take 1.3 times as long, and pause 0.3 s with a long
-    # prompt beside.
+def test_avoiding_engines_with_pauses_earns_more(pattern):
+    # Two of six engines take 1.3 times as long, and their streams pause for
+    # 0.3 s while a long prompt is read.
     without = play_without(
         pattern, PrefixChoice, "_fewest_pauses", lambda _self, some, _now: some
     )
@@ -106,11 +110,11 @@
 
 
 def test_a_cold_restart_of_all_routers_costs_little():
-    # Nobody knows then what engines have cached, still read or run.
+    # No router then knows caches, backlogs and running requests of engines.
     assert credit(play("restart")) > credit(play("mixed")) - 0.05
 
 
-# The decision alone
+# Unit tests of Overload
 
 
 def come_back_at(overload, wait, rank=0, now=100.0):
@@ -118,18 +122,18 @@
     return late and late.come_back_at
 
 
-def test_what_one_upstream_begins_in_time_is_taken():
+def test_a_request_that_one_upstream_begins_in_time_is_accepted():
     overload = Overload()
     assert come_back_at(overload, 1.0) is None
     assert come_back_at(overload, 0.0) is None
 
 
-def test_what_none_begins_in_time_comes_back_when_there_is_room():
-    # Half of the objective is then left for what is still to be read.
+def test_a_late_request_gets_a_time_to_retry():
+    # Half of the objective is left for the backlog at the retry.
     assert come_back_at(Overload(), 1.7) == pytest.approx(100.0 + 1.7 - 0.5)
 
 
-def test_less_urgent_requests_leave_the_rest_to_more_urgent_ones():
+def test_less_urgent_requests_get_a_lower_limit():
     overload = Overload()
     wait = (1.0 + LESS_URGENT_SHARE) / 2
     assert come_back_at(overload, wait, rank=1) is None
@@ -137,7 +141,7 @@
     assert come_back_at(overload, wait, rank=1) is not None
 
 
-def test_an_urgent_rank_that_nobody_asks_for_binds_no_more():
+def test_an_urgent_rank_without_requests_expires():
     overload = Overload()
     wait = (1.0 + LESS_URGENT_SHARE) / 2
     assert come_back_at(overload, wait, rank=0, now=100.0) is None
@@ -145,7 +149,7 @@
     assert come_back_at(overload, wait, rank=1, now=later) is None
 
 
-def test_lag_fades_and_follows_first_events():
+def test_the_lag_decays_and_follows_first_events():
     backlog = Backlog()
     for _send in range(20):
         backlog.record_first_event(100, 1.1, 10.0)
@@ -155,15 +159,15 @@
     assert backlog.lag(12.0) < 0.3
 
 
-def hear_nothing(_self):
+def poll_nothing(_self):
     return 0.0
 
 
 @pytest.mark.parametrize("pattern", ["large", "large-slow"])
-def test_a_large_fleet_serves_more_where_routers_hear_of_long_prompts(pattern):
-    # 195 routers before 39 engines: each sees one prompt in two hundred, and
-    # without news they meet at the same engines.
+def test_a_large_fleet_earns_more_with_announcements(pattern):
+    # With 195 routers and 39 engines each router sees one prompt in two
+    # hundred; without announcements they choose the same engines.
     without = play_without(
-        pattern, LoadSync, "advance_poll_window", hear_nothing
+        pattern, LoadSync, "advance_poll_window", poll_nothing
     )
     assert credit(play(pattern)) > credit(without) + 0.01
--- a/test/test_load_digest.py
+++ b/test/test_load_digest.py
@@ -1,4 +1,4 @@
-"""News of long prompts in a fleet too large to tell all of them."""
+"""Announcements of long prompts in a fleet too large for direct messages."""
 
 import asyncio
 from test.test_choice import FakeClock
@@ -25,7 +25,7 @@
 
 
 class LargeFleet:
-    """A hundred routers, of which few hear a note at once."""
+    """A hundred routers, few of which receive a LoadNote directly."""
 
     def __init__(self, clock):
         self.peers = FakePeers()
@@ -47,9 +47,9 @@
     return router.send(make_job(shared=0, own=MIN_ANNOUNCED_TOKENS))
 
 
-def test_a_router_that_asks_hears_what_others_sent(clock):
-    # Notes went to peers with an open connection: 8 to some 60 of 194 routers,
-    # and the others sent their prompts to the same engines.
+def test_a_router_that_polls_receives_announcements(clock):
+    # When LoadNotes only went to peers with an open connection, 8 to about 60
+    # of 194 routers got them, and the others sent to the same engines.
     fleet = LargeFleet(clock)
     sender, asker = fleet.others[:2]
     engine = send(fleet.routers[sender])
@@ -60,7 +60,7 @@
     assert fleet.backlog(asker, engine) == MIN_ANNOUNCED_TOKENS
 
 
-def test_a_router_hears_nothing_of_its_own_sends_nor_twice(clock):
+def test_answers_omit_own_sends_and_are_not_repeated(clock):
     fleet = LargeFleet(clock)
     sender, asker = fleet.others[:2]
     send(fleet.routers[sender])
@@ -73,7 +73,7 @@
     assert not follower.notes.recent(asks.advance_poll_window(), asker)
 
 
-def test_those_that_hear_all_at_once_do_not_ask(clock):
+def test_routers_with_direct_announcements_do_not_poll(clock):
     fleet = LargeFleet(clock)
     small = FakeRouter(clock, fleet.peers, "alone", ["x/r1/1"])
     clock.now += 0.25
@@ -81,7 +81,7 @@
     assert small.notes.advance_poll_window() == 0
 
 
-def test_an_answer_is_bounded_and_names_the_largest_prompts(clock):
+def test_an_answer_is_limited_to_the_largest_prompts(clock):
     fleet = LargeFleet(clock)
     follower = fleet.routers[fleet.leading[0]].notes
     for number in range(5 * ANSWER_LIMIT):
@@ -100,7 +100,7 @@
 
 
 class Answerer:
-    """A peer that answers by the Views of another router."""
+    """A PeerClient whose calls are answered by another router's Views."""
 
     def __init__(self, views):
         self._views = views
@@ -114,7 +114,7 @@
         return type(answer).unpack(answer.pack())
 
 
-def test_notes_come_with_the_answers_to_questions_for_views(clock):
+def test_answers_to_view_polls_contain_announcements(clock):
     loop = VirtualLoop()
     asyncio.set_event_loop(loop)
     fleet = LargeFleet(clock)
