--- a/rowanport/gateway/blocklist.py
+++ b/rowanport/gateway/blocklist.py
@@ -1,4 +1,4 @@
-"""Keeps blocked requests in the store, for when all routers lose power."""
+"""Stores blocked requests, so that they survive a failure of all routers."""
 
 import asyncio
 
@@ -21,20 +21,20 @@
 LOG = structlog.get_logger(__name__)
 
 BLOCKED_KEY = "rowanport/blocked"
-# Seconds between two looks whether something is to be read or written.
-LOOK_SECONDS = 0.5
+# Interval in seconds of checks whether to read or write the record.
+CHECK_INTERVAL = 0.5
 # Seconds after the start until the record is read: by then a router knows
-# whether it is one of those that call the store for a large fleet.
-LOAD_PAUSE = 0.5
-# Seconds after which another router writes what the one before it in order
-# has not.
+# whether it is one of the few that access the store for a large fleet.
+LOAD_DELAY = 0.5
+# Seconds that each further router in the rendezvous order waits for the ones
+# before it to write a blocked request.
 TURN_SECONDS = 2.0
-# Writes in a row that may meet another router's.
-CONFLICT_LIMIT = 4
+# Consecutive writes that are tried after conflicts with other routers.
+MAX_CONFLICTS = 4
 
 
 class Blocklist:
-    """Reads the record of blocked requests once, and writes each new one.
+    """Reads the record of blocked requests at the start, and updates it.
 
     :param store: a TransactionStore
     :param crashes: the CrashGuard
@@ -51,51 +51,54 @@
         self._clock = clock
         self._value = Value(b"", 0)
         self._loaded = False
-        self._load_at = clock.steady() + LOAD_PAUSE
+        self._load_at = clock.steady() + LOAD_DELAY
         self._failing = False
         self._outdated = False
         self._changed = asyncio.Event()
 
     def on_blocked(self):
-        """Note that a request was blocked."""
+        """Schedule a check, as a request was blocked or unblocked."""
         self._changed.set()
 
     def on_blocked_answered(self):
-        """Note that this router saw a whole answer to a blocked request."""
+        """Schedule a write, as a blocked request was answered completely."""
         self._outdated = True
         self._changed.set()
 
     async def run(self):
-        """Keep the record until cancelled."""
+        """Keep the record up to date until cancelled."""
         while True:
             beat()
             try:
                 await self._look()
                 self._failing = False
             except StoreError as error:
-                self._note_failure(error)
+                self._log_failure(error)
             except MessageError as error:
                 LOG.error("blocklist_unreadable", error=str(error))
-                # Written anew with what is known here.
+                # The next write replaces it with the requests known here.
                 self._value = Value(b"", self._value.version)
             await self._wait()
 
     async def _wait(self):
         try:
-            async with asyncio.timeout(LOOK_SECONDS):
+            async with asyncio.timeout(CHECK_INTERVAL):
                 await self._changed.wait()
         except asyncio.TimeoutError:
             return
         self._changed.clear()
 
-    def _note_failure(self, error):
+    def _log_failure(self, error):
         if not self._failing:
             self._failing = True
             LOG.info("blocklist_store_failed", error=str(error))
 
     @property
     def _must_load(self):
-        """Return whether to read the record; the others hear of it."""
+        """Return whether this router is to read the record now.
+
+        The other routers receive its rows from their peers.
+        """
         if self._loaded or self._clock.steady() < self._load_at:
             return False
         return self._address in followers(self._members)
@@ -110,7 +113,11 @@
             await self._save()
 
     def _due(self):
-        """Return whether this router is to write the record now."""
+        """Return whether this router is to write the record now.
+
+        Each blocked request is written by the first available router in an
+        order of its own.
+        """
         now = self._clock.steady()
         return self._outdated or any(
             now >= suspect.changed_at + self._turn(suspect) * TURN_SECONDS
@@ -119,14 +126,14 @@
         )
 
     def _turn(self, suspect):
-        """Return how many routers come before this one."""
+        """Return the position of this router in the order for a Suspect."""
         routers = [address_of(other) for other in self._members.others()]
         routers.append(self._address)
         order = rendezvous(format_fingerprint(suspect.fingerprint), routers)
         return order.index(self._address)
 
     async def _save(self):
-        for _try in range(CONFLICT_LIMIT):
+        for _attempt in range(MAX_CONFLICTS):
             rows = self._merged_rows()
             data = pack_blocked(rows, self._clock.wall())
             write = Write(BLOCKED_KEY, data, self._value.version)
@@ -138,13 +145,14 @@
                 continue
             self._value = Value(data, version)
             self._outdated = False
-            self._note_stored(rows)
+            self._mark_stored(rows)
             return
 
     def _merged_rows(self):
-        """Return the SuspectRows that the record is to hold.
+        """Return the SuspectRows to write.
 
-        What the record has is kept unless an answer has cleared it since.
+        Rows of the stored record are kept unless the table of this router
+        knows the request and does not block it.
         """
         now = self._clock.steady()
         table = self._crashes.table
@@ -159,7 +167,7 @@
                 rows[suspect.fingerprint] = table.row(suspect, now)
         return list(rows.values())
 
-    def _note_stored(self, rows):
+    def _mark_stored(self, rows):
         now = self._clock.steady()
         for row in rows:
             self._crashes.table.mark_stored(row.fingerprint, now)
--- a/rowanport/gateway/crash_guard.py
+++ b/rowanport/gateway/crash_guard.py
@@ -1,8 +1,8 @@
-"""Recognises requests that crash upstreams, together with the peers.
+"""Detects requests that crash upstreams, together with the peers.
 
-What ends together with its upstream is a suspect until it is answered whole.
-A suspect runs apart from others, and one under which three upstreams crashed
-is refused by all routers.
+A request that was running on an upstream when it crashed is a suspect until
+it gets a complete answer.  Suspects are isolated from each other, and a
+request under which three upstreams crashed is blocked by all routers.
 """
 
 import asyncio
@@ -27,33 +27,33 @@
 
 LOG = structlog.get_logger(__name__)
 
-# Seconds for which a suspect waits until the runs of the same request have
-# ended: one that is sound is mostly answered by then.
-ADMIT_SECONDS = 0.3
-# Seconds between two looks at what is due as time passes.
-SETTLE_PAUSE = 0.5
-# Crashed runs that are remembered.
-CRASHED_LIMIT = 256
+# Seconds for which a suspect waits for other runs of the same request to end:
+# a harmless request is usually answered by then.
+ADMIT_TIMEOUT = 0.3
+# Interval in seconds of the periodic expiry and clearing of suspects.
+SETTLE_INTERVAL = 0.5
+# Most crashed upstream runs that are remembered.
+MAX_CRASHED = 256
 
 
 class CrashGuard:
-    """Decides which requests run, and where, by the crashes seen so far.
+    """Decides which requests may run, and where, by the crashes seen so far.
 
     :param pool: the UpstreamPool
     :param client: the HttpClient of the upstreams
     :param peers: a PeerClient
-    :param listeners: function that returns the addresses of the peers that
-        are told news at once
+    :param listeners: function that returns the addresses of the peers to
+        which changes are sent at once
     :param address: this router's peer address
     :param clock: a Clock
     :param metrics: the GatewayMetrics
     :ivar table: the SuspectTable
-    :ivar sync: the SuspectSync, which tells peers
-    :ivar on_blocked: function of a Job under way whose request was blocked
-    :ivar on_verdict: function that is called when requests were blocked, or
-        are no more
-    :ivar on_answered: function that is called when a request was answered
-        whole here that the store holds as blocked
+    :ivar sync: the SuspectSync, which exchanges suspects with peers
+    :ivar on_blocked: callback with each Job in progress whose request was
+        blocked
+    :ivar on_blocklist_change: callback when requests were blocked or unblocked
+    :ivar on_blocked_answered: callback when this router got a complete answer
+        to a request that the store holds as blocked
     """
 
     def __init__(
@@ -68,14 +68,14 @@
         self._probes = {}
         self._crashed = {}
         self._blocked = set()
-        self._changed = asyncio.Event()
+        self._change_event = asyncio.Event()
         self._tasks = TaskSet()
         self.table = SuspectTable(address)
         self.sync = SuspectSync(
             self.table, self._runs, peers, listeners, address, clock
         )
-        self.sync.on_changes = self._hear_changes
-        self.sync.on_runs = self._wake
+        self.sync.on_changes = self._on_peer_changes
+        self.sync.on_runs = self._notify_waiters
         self.on_blocked = None
         self.on_blocklist_change = None
         self.on_blocked_answered = None
@@ -83,12 +83,12 @@
     # Requests
 
     def check(self, job):
-        """Raise RequestError if a request is not to run any more."""
+        """Raise RequestError if a request is blocked."""
         suspect = self.table.get(job.fingerprint)
         if suspect is None or not suspect.blocked:
             return
         runs = ", ".join(suspect.uncleared_crashes)
-        why = f"upstreams crashed under it: {runs}"
+        why = f"upstreams crashed while running this request: {runs}"
         if job.runs:
             raise RequestError(ErrorKind.UPSTREAM_FAILED, why)
         raise RequestError(ErrorKind.CRASHES_UPSTREAMS, why)
@@ -96,33 +96,43 @@
     async def admit(self, job):
         """Wait until a request may be sent.
 
-        :raises RequestError: it may not
+        :raises RequestError: it is blocked, or it is a suspect that still has
+            too many concurrent runs after ADMIT_TIMEOUT
         """
         self.check(job)
-        if not self._against(job.fingerprint):
+        if not self._crash_count(job.fingerprint):
             return
-        give_up_at = self._clock.steady() + ADMIT_SECONDS
+        deadline = self._clock.steady() + ADMIT_TIMEOUT
         while not self._may_run(job.fingerprint):
-            left = give_up_at - self._clock.steady()
+            left = deadline - self._clock.steady()
             if left <= 0:
                 raise _too_many_runs(job)
             await self._wait_for_change(left)
             self.check(job)
 
     def is_suspect(self, job):
-        """Return whether an upstream crashed under a request."""
-        return self._against(job.fingerprint) > 0
+        """Return whether an upstream crashed while running a request."""
+        return self._crash_count(job.fingerprint) > 0
 
     def isolate(self, job, candidates, now):
-        """Return the UpstreamStates among some to which a job may go."""
+        """Return the candidates on which a job is isolated from suspects.
+
+        :param job: the Job
+        :param candidates: UpstreamStates, at least one
+        :param now: monotonic time in seconds
+        :returns: at least one
+        """
         if not self._runs and not self.is_suspect(job):
             return candidates
         return select_isolated(
-            candidates, job.fingerprint, self._against, self._runs, now
+            candidates, job.fingerprint, self._crash_count, self._runs, now
         )
 
     def start_run(self, job, state):
-        """Note that a job is sent; return its InFlightSend."""
+        """Record that a job is sent to an UpstreamState.
+
+        :returns: its InFlightSend
+        """
         now = self._clock.steady()
         send = self._sends.add(job, state.record.run, now)
         if self.is_suspect(job):
@@ -130,27 +140,31 @@
         return send
 
     def finish_run(self, send, error=None):
-        """Note that a run is over; it may be told again.
+        """Record that a run has ended; repeated calls have no effect.
+
+        If the upstream closed the connection, it is probed for a crash.
 
+        :param send: the InFlightSend
         :param error: the UpstreamError that ended it, or None
         """
         run = send.run
-        if not isinstance(error, ConnectionEnded) or not self._lives(run):
+        if not isinstance(error, ConnectionEnded) or not self._is_serving(run):
             self._sends.remove(send)
             self.sync.announce_ends([send])
             return
         self._sends.mark_ended(send, self._clock.steady())
         if run.name in self._crashed:
-            self._take_crash(run.name)
+            self._record_crash(run.name)
         elif run.name not in self._probes:
             address = self._pool.get(run.id).record.address
             probe = self._tasks.spawn(self._probe(run, address))
             self._probes[run.name] = probe
 
     def record_success(self, job, run):
-        """Note that an upstream answered a job whole.
+        """Record a complete answer, which clears a suspect.
 
-        :param run: the UpstreamRun
+        :param job: the Job
+        :param run: UpstreamRun that answered, and so has not crashed
         """
         self._crashed.pop(run.name, None)
         suspect = self.table.record_success(
@@ -164,59 +178,67 @@
             request=job.id,
             crashes=list(suspect.crashes),
         )
-        self._take_changes([suspect])
+        self._apply_changes([suspect])
         self.sync.announce([suspect])
         if suspect.stored:
             self.on_blocked_answered()
 
     def close(self):
-        """End what is under way."""
+        """Cancel the probes in progress."""
         self._tasks.cancel()
 
     # Crashes
 
-    def _against(self, fingerprint):
-        """Return the crashes against a request, likely ones included."""
+    def _crash_count(self, fingerprint):
+        """Return the number of crashes that a request may have caused.
+
+        That includes runs that closed the connection and may have crashed.
+        """
         known = self.table.crash_count(fingerprint)
         return known + len(self._sends.runs_that_ended(fingerprint))
 
     def _may_run(self, fingerprint):
-        """Return whether a request may have one more run at this time.
+        """Return whether a request may have one more concurrent run.
 
-        All its runs together cannot crash more upstreams than it takes to
-        recognise it.
+        Its concurrent runs must not crash more upstreams than are needed to
+        block it.
         """
         running = self._runs.count(fingerprint, self._clock.steady())
-        missing = BLOCK_THRESHOLD - self._against(fingerprint)
+        missing = BLOCK_THRESHOLD - self._crash_count(fingerprint)
         return running < max(1, missing)
 
-    def _lives(self, run):
-        """Return whether an upstream's run is to take requests."""
+    def _is_serving(self, run):
+        """Return whether an UpstreamRun is still listed and not leaving."""
         state = self._pool.get(run.id)
         if state is None or state.record.run != run:
             return False
         return not state.record.leaving
 
     async def _probe(self, run, address):
-        """Find out whether an upstream that ended connections crashed."""
+        """Check whether an upstream that closed connections has crashed.
+
+        :param run: the UpstreamRun
+        :param address: its IP and port
+        """
         try:
             if await self._is_gone(run.name, address):
                 now = self._clock.steady()
                 crashed_at = self._sends.first_ended_at(run.name) or now
                 self._metrics.crashes.inc({})
-                self._note_crashed(run.name, crashed_at)
-                self._take_crash(run.name)
+                self._mark_crashed(run.name, crashed_at)
+                self._record_crash(run.name)
             else:
                 self.sync.announce_ends(self._sends.pop_ended(run.name))
         finally:
             self._probes.pop(run.name, None)
-            self._wake()
+            self._notify_waiters()
 
     async def _is_gone(self, name, address):
-        """Return whether an upstream that ended a connection has crashed.
+        """Return whether an upstream that closed a connection has crashed.
 
-        Behind a proxy it still has a listener, which hangs up.  So does one
-        that takes no more connections, but that keeps those it has.
+        A refused connection means a crash.  Behind a proxy the proxy still
+        accepts connections and then closes them.  An upstream that accepts no
+        more connections does so, too, but keeps its existing ones open.
         """
         listening = await self._client.probe(address)
         if listening is not Listening.HANGS_UP:
@@ -225,14 +247,14 @@
             not self._client.has_idle(address)
         )
 
-    def _take_crash(self, name):
-        """Take in that an upstream's run crashed under own requests."""
+    def _record_crash(self, name):
+        """Record the crash of an upstream run for the requests on it."""
         at = self._crashed[name]
-        sends = self._sends.pop_all(name)
+        sends = self._sends.collect_all(name)
         now = self._clock.steady()
         changed = []
         for send in sends:
-            # What was sent later never ran.
+            # Requests sent after the crash never ran.
             if send.sent_at <= at:
                 fingerprint = send.job.fingerprint
                 changed.append(self.table.record_crash(fingerprint, name, now))
@@ -244,41 +266,45 @@
                 requests=[f.job.id for f in sends][:LOG_LIMIT],
                 fingerprints=format_fingerprints(changed),
             )
-        self._take_changes(changed)
+        self._apply_changes(changed)
         self.sync.announce(changed)
-        # Not before the crash is told: until then they count as running.
+        # After the crash is announced: peers count the requests as running
+        # until then.
         self.sync.announce_ends(sends)
 
-    def _note_crashed(self, name, at):
-        """Note that an upstream's run crashed, seen here or at a peer.
+    def _mark_crashed(self, name, at):
+        """Record that an upstream run crashed, as seen here or by a peer.
+
+        It gets no requests for a while.  Requests sent to it after the crash,
+        while it is still listed, are not suspects.
 
-        It gets nothing for a while, and what it gets later, as long as it is
-        listed, is not to blame.
+        :param name: name of the UpstreamRun
+        :param at: monotonic time of the crash
         """
         if name in self._crashed:
             return
         self._crashed[name] = at
-        if len(self._crashed) > CRASHED_LIMIT:
+        if len(self._crashed) > MAX_CRASHED:
             del self._crashed[next(iter(self._crashed))]
         state = self._pool.get(name.partition("@")[0])
         if state is not None and state.record.run.name == name:
             state.note_crash(at)
 
-    def _take_changes(self, suspects):
-        """Act on what is new of some Suspects."""
+    def _apply_changes(self, suspects):
+        """Act on changed Suspects."""
         for suspect in suspects:
             for send in self._sends.sends_of(suspect.fingerprint):
                 if suspect.uncleared_crashes:
                     self.sync.announce_run(send)
         blocked = self.table.blocked
         if blocked != self._blocked:
-            self._change_verdicts(blocked)
-        self._wake()
+            self._update_blocked(blocked)
+        self._notify_waiters()
 
-    def _change_verdicts(self, blocked):
-        """Act on what is refused from now on, or no more.
+    def _update_blocked(self, blocked):
+        """Act on requests that were blocked or unblocked.
 
-        :param blocked: fingerprints of all that is refused
+        :param blocked: fingerprints of all blocked requests
         """
         for fingerprint in self._blocked - blocked:
             text = format_fingerprint(fingerprint)
@@ -287,10 +313,10 @@
         self._blocked = blocked
         self._metrics.blocked_requests.set({}, len(blocked))
         for fingerprint in new:
-            self._block(self.table.get(fingerprint))
+            self._on_request_blocked(self.table.get(fingerprint))
         self.on_blocklist_change()
 
-    def _block(self, suspect):
+    def _on_request_blocked(self, suspect):
         LOG.warning(
             "request_blocked",
             fingerprint=format_fingerprint(suspect.fingerprint),
@@ -300,44 +326,44 @@
         for send in self._sends.sends_of(suspect.fingerprint):
             self.on_blocked(send.job)
 
-    def _hear_changes(self, suspects):
-        """Act on what a peer told of some Suspects."""
+    def _on_peer_changes(self, suspects):
+        """Act on Suspects that changed by a message of a peer."""
         for suspect in suspects:
             for name, at in suspect.crashes.items():
-                self._note_crashed(name, at)
-        self._take_changes(suspects)
+                self._mark_crashed(name, at)
+        self._apply_changes(suspects)
 
     async def run(self):
-        """Do what is due as time passes, until cancelled."""
+        """Expire and clear suspects periodically, until cancelled."""
         while True:
             beat()
             self._settle()
-            await asyncio.sleep(SETTLE_PAUSE)
+            await asyncio.sleep(SETTLE_INTERVAL)
 
     def _settle(self):
-        """Forget what is old, and clear what ran beside a refused request."""
+        """Expire old suspects, and clear those a blocked request explains."""
         now = self._clock.steady()
         self.table.expire(now)
         self._runs.expire(now)
-        self._take_changes(self.table.clear_bystanders(now))
+        self._apply_changes(self.table.clear_bystanders(now))
 
     # Waiting
 
-    def _wake(self):
-        self._changed.set()
-        self._changed = asyncio.Event()
+    def _notify_waiters(self):
+        self._change_event.set()
+        self._change_event = asyncio.Event()
 
     async def _wait_for_change(self, seconds):
         try:
             async with asyncio.timeout(seconds):
-                await self._changed.wait()
+                await self._change_event.wait()
         except asyncio.TimeoutError:
             pass
 
 
 def _too_many_runs(job):
-    """Return the RequestError of a suspect whose request runs already."""
-    why = "an upstream crashed under it, and it still runs elsewhere"
+    """Return the RequestError of a suspect with too many concurrent runs."""
+    why = "an upstream crashed while running it, and another run is active"
     if job.runs:
         return RequestError(ErrorKind.UPSTREAM_FAILED, why)
     return RequestError(ErrorKind.CRASH_SUSPECTED, why)
--- a/rowanport/gateway/fingerprint.py
+++ b/rowanport/gateway/fingerprint.py
@@ -1,37 +1,37 @@
-"""Recognises the same request when it comes again, at any router."""
+"""Fingerprints, by which all routers identify repetitions of a request."""
 
 import hashlib
 
 FINGERPRINT_BYTES = 8
-# Longest key in bytes that the hash takes.
-KEY_LIMIT = 64
+# Longest key in bytes that BLAKE2b accepts.
+MAX_KEY_BYTES = 64
 
 
 class Fingerprints:
-    """Computes fingerprints that are the same at all routers.
+    """Computes request fingerprints that are the same at all routers.
 
-    They are keyed, so that a caller cannot choose requests that share one.
+    The hash is keyed, so that callers cannot construct collisions.
 
-    :param secret: what all routers share
+    :param secret: secret shared by all routers
     """
 
     def __init__(self, secret):
-        self._key = secret.encode()[:KEY_LIMIT]
+        self._key = secret.encode()[:MAX_KEY_BYTES]
 
     def compute(self, request, organisation):
-        """Return the fingerprint of a request, a number of 64 bits.
+        """Return the 64-bit fingerprint of a request.
 
-        :param request: the HttpRequest; its method, path and body count
+        :param request: HttpRequest, whose method, path and body are hashed
         :param organisation: name of the caller's organisation, "" if none
         """
         hasher = hashlib.blake2b(
             request.body, digest_size=FINGERPRINT_BYTES, key=self._key
         )
-        head = f"\0{request.method}\0{request.path}\0{organisation}"
-        hasher.update(head.encode())
+        parts = f"\0{request.method}\0{request.path}\0{organisation}"
+        hasher.update(parts.encode())
         return int.from_bytes(hasher.digest(), "big")
 
 
 def format_fingerprint(fingerprint):
-    """Return a fingerprint as logs show it."""
+    """Return a fingerprint as 16 hexadecimal digits, as in log lines."""
     return f"{fingerprint:016x}"
--- a/rowanport/gateway/suspect_sync.py
+++ b/rowanport/gateway/suspect_sync.py
@@ -1,8 +1,8 @@
-"""Tells peers of requests under which upstreams crash, and hears them.
+"""Synchronises with peers which requests crash upstreams.
 
-What is new is told at once.  As such a message may be lost, each question to
-a peer and its answer carry what is recent as well, and all the rest in turn
-while the two know different things.
+Changes are sent at once.  As these messages may be lost, each poll of a peer
+also carries recent changes.  While two tables differ, polls and answers carry
+the newest rows and the others in batches.
 """
 
 import structlog
@@ -13,26 +13,27 @@
 
 LOG = structlog.get_logger(__name__)
 
-# Seconds for which a peer counts a suspect's run whose end it did not hear.
-RUN_SECONDS = 10.0
-# Seconds for which news are told with each question to a peer.
+# Longest time in seconds for which a peer counts a suspect's run if the end of
+# the run is not announced or the message is lost.
+MAX_RUN_SECONDS = 10.0
+# Seconds for which a change is included in each poll of a peer.
 RECENT_SECONDS = 2.0
-# Requests that one log line names.
+# Most requests named in one log line.
 LOG_LIMIT = 20
 
 
 class SuspectSync:
-    """What routers tell each other of suspects.
+    """Exchanges suspects and their runs with peers.
 
     :param table: the SuspectTable
     :param runs: the SuspectRuns
     :param peers: a PeerClient
-    :param listeners: function that returns the addresses of the peers that
-        are told news at once
+    :param listeners: function that returns the addresses of the peers to
+        which changes are sent at once
     :param address: this router's peer address
     :param clock: a Clock
-    :ivar on_changes: function of the Suspects that a peer's news changed
-    :ivar on_runs: function that is called when a peer told of a run
+    :ivar on_changes: callback with the Suspects that a peer's message changed
+    :ivar on_runs: callback when a peer reports the start or end of a run
     """
 
     def __init__(self, table, runs, peers, listeners, address, clock):
@@ -42,51 +43,54 @@
         self._listeners = listeners
         self._address = address
         self._clock = clock
-        self._push_until = 0.0
+        self._differs_until = 0.0
         self.on_changes = None
         self.on_runs = None
 
-    # At once
+    # Immediate messages
 
     def announce(self, suspects):
-        """Tell peers what is known of some Suspects."""
+        """Send the rows of some Suspects to peers."""
         if not suspects:
             return
         now = self._clock.steady()
         rows = [self._table.row(suspect, now) for suspect in suspects]
-        news = SuspectNews(self._table.digest, rows)
-        self._peers.tell(self._listeners(), news)
+        message = SuspectNews(self._table.digest, rows)
+        self._peers.tell(self._listeners(), message)
 
     def announce_run(self, send):
-        """Count a suspect's run, and tell peers of it."""
+        """Record the run of a suspect, and send it to peers.
+
+        :param send: the InFlightSend
+        """
         now = self._clock.steady()
         job, run = send.job, send.run.name
-        seconds = max(0.0, min(RUN_SECONDS, job.deadline - now))
+        seconds = max(0.0, min(MAX_RUN_SECONDS, job.deadline - now))
         self._runs.add(job.fingerprint, run, self._address, now + seconds)
         message = SuspectRun(job.fingerprint, run, self._address, seconds)
         self._peers.tell(self._listeners(), message)
 
     def announce_ends(self, sends):
-        """Count the runs of some InFlightSends no more, and tell peers."""
+        """Remove the runs of some InFlightSends, and notify peers."""
         for send in sends:
             key = send.job.fingerprint, send.run.name, self._address
             if self._runs.remove(*key):
                 self._peers.tell(self._listeners(), SuspectRun(*key, 0.0))
 
     def receive_run(self, message):
-        """Take in a SuspectRun."""
+        """Apply a SuspectRun message."""
         key = message.fingerprint, message.upstream, message.router
         if message.seconds > 0:
-            seconds = min(RUN_SECONDS, message.seconds)
+            seconds = min(MAX_RUN_SECONDS, message.seconds)
             self._runs.add(*key, self._clock.steady() + seconds)
         else:
             self._runs.remove(*key)
         self.on_runs()
 
-    def receive(self, news):
-        """Take in SuspectNews."""
+    def receive(self, message):
+        """Merge the rows of a SuspectNews message."""
         now = self._clock.steady()
-        merged = [self._table.merge(row, now) for row in news.rows]
+        merged = [self._table.merge(row, now) for row in message.rows]
         changed = [suspect for suspect in merged if suspect is not None]
         if not changed:
             return
@@ -97,32 +101,35 @@
         )
         self.on_changes(changed)
 
-    # With questions
+    # Polls
 
     def build_poll(self):
-        """Return the SuspectNews that go along with a question to a peer."""
+        """Return the SuspectNews to include in a poll of a peer."""
         now = self._clock.steady()
-        if now < self._push_until:
+        if now < self._differs_until:
             rows = self._table.next_rows(now)
         else:
             rows = self._table.rows_since(now - RECENT_SECONDS, now)
         return SuspectNews(self._table.digest, rows)
 
-    def answer_poll(self, news):
-        """Take in an asker's SuspectNews; return what it may not know."""
-        self.receive(news)
+    def answer_poll(self, message):
+        """Merge the SuspectNews of a poll; return those for the answer."""
+        self.receive(message)
         rows = []
-        if news.digest != self._table.digest:
+        if message.digest != self._table.digest:
             rows = self._table.next_rows(self._clock.steady())
         return SuspectNews(self._table.digest, rows)
 
-    def receive_answer(self, news):
-        """Take in the SuspectNews that a peer answered with."""
-        self.receive(news)
-        if news.digest != self._table.digest:
-            self._push_until = self._clock.steady() + RECENT_SECONDS
+    def receive_answer(self, message):
+        """Merge the SuspectNews of an answer.
+
+        If the tables differ, the next polls include rows in batches.
+        """
+        self.receive(message)
+        if message.digest != self._table.digest:
+            self._differs_until = self._clock.steady() + RECENT_SECONDS
 
 
 def format_fingerprints(suspects):
-    """Return the fingerprints of some Suspects as logs show them."""
+    """Return the fingerprints of some Suspects as text for a log line."""
     return [format_fingerprint(s.fingerprint) for s in suspects][:LOG_LIMIT]
--- a/rowanport/suspects/__init__.py
+++ b/rowanport/suspects/__init__.py
@@ -1,7 +1,8 @@
-"""Requests under which upstreams crash, and what is done about them.
+"""Suspects: requests during which upstreams crashed, and their isolation.
 
-Nothing here waits or sends: the gateway tells what it sees and what peers
-say, and asks what may run where.
+An upstream's run is one lifetime of its process.  The code here does no I/O:
+the gateway reports crashes, answers and messages of peers, and asks which
+upstreams may run a request.
 """
 
 from .in_flight import InFlightSends
--- a/rowanport/suspects/in_flight.py
+++ b/rowanport/suspects/in_flight.py
@@ -1,19 +1,20 @@
-"""Requests of this router that run at upstreams, and which ended together."""
+"""Tracks the requests of this router that are in flight at upstreams."""
 
 import collections
 
-# Seconds for which a request whose connection ended is kept, until it is
-# known whether its upstream crashed.
+# Seconds for which a request is kept after its upstream closed the connection,
+# until it is known whether the upstream crashed.
 ENDED_SECONDS = 2.0
 
 
 class InFlightSend:
-    """One run of a request at an upstream.
+    """One send of a request to an upstream.
 
-    :ivar job: its Job
+    :ivar job: the Job
     :ivar run: the UpstreamRun
-    :ivar sent_at: steady time at which it was sent
-    :ivar ended_at: monotonic time at which the upstream ended it, or None
+    :ivar sent_at: monotonic time at which it was sent
+    :ivar ended_at: monotonic time at which the upstream closed the connection,
+        or None
     """
 
     __slots__ = ("job", "run", "sent_at", "ended_at")
@@ -26,34 +27,34 @@
 
 
 class InFlightSends:
-    """All InFlightSends by the name of the upstream's run."""
+    """The InFlightSends of this router, by the name of the UpstreamRun."""
 
     def __init__(self):
         self._open = collections.defaultdict(dict)
         self._ended = collections.defaultdict(list)
 
     def add(self, job, run, now):
-        """Return the InFlightSend of a request that is sent now."""
+        """Add a request that is sent now; return its InFlightSend."""
         send = InFlightSend(job, run, now)
         self._open[run.name][send] = True
         return send
 
     def remove(self, send):
-        """Note that a run is over; it may be told again."""
+        """Remove a send that has ended; repeated calls have no effect."""
         sends = self._open.get(send.run.name, {})
         sends.pop(send, None)
         if not sends:
             self._open.pop(send.run.name, None)
 
     def mark_ended(self, send, now):
-        """Note that the upstream ended a run's connection."""
+        """Record that the upstream closed the connection of a send."""
         self.remove(send)
         send.ended_at = now
-        self._forget(now)
+        self._expire(now)
         self._ended[send.run.name].append(send)
 
     def sends_of(self, fingerprint):
-        """Return the open InFlightSends of a request."""
+        """Return the InFlightSends of a request that have not ended."""
         return [
             send
             for sends in self._open.values()
@@ -62,7 +63,11 @@
         ]
 
     def runs_that_ended(self, fingerprint):
-        """Return the names of runs that ended a request, cause unknown."""
+        """Return the names of upstream runs that may have crashed under it.
+
+        They closed the connection of a request with this fingerprint, and it
+        is not known yet whether they crashed.
+        """
         return [
             name
             for name, sends in self._ended.items()
@@ -70,29 +75,32 @@
         ]
 
     def first_ended_at(self, name):
-        """Return the steady time at which an upstream's run ended the first.
+        """Return when an upstream run first closed a connection.
 
-        :returns: None if it ended none lately
+        :returns: monotonic time, or None if it closed none recently
         """
         ended = self._ended.get(name, ())
         return min((send.ended_at for send in ended), default=None)
 
     def sends_at(self, name):
-        """Return the InFlightSends under way at an upstream's run."""
+        """Return the InFlightSends at an upstream run that have not ended."""
         return list(self._open.get(name, ()))
 
-    def pop_all(self, name):
-        """Return the InFlightSends at an upstream that crashed."""
+    def collect_all(self, name):
+        """Remove and return the InFlightSends at a crashed upstream run.
+
+        Those that have not ended are returned, but not removed.
+        """
         return [*self.pop_ended(name), *self.sends_at(name)]
 
     def pop_ended(self, name):
-        """Return the InFlightSends that ended at an upstream that goes on."""
+        """Remove and return the ended InFlightSends at an upstream run."""
         return self._ended.pop(name, [])
 
-    def _forget(self, now):
+    def _expire(self, now):
         for name, sends in list(self._ended.items()):
-            fresh = [f for f in sends if f.ended_at > now - ENDED_SECONDS]
-            if fresh:
-                self._ended[name] = fresh
+            recent = [f for f in sends if f.ended_at > now - ENDED_SECONDS]
+            if recent:
+                self._ended[name] = recent
             else:
                 del self._ended[name]
--- a/rowanport/suspects/isolation.py
+++ b/rowanport/suspects/isolation.py
@@ -1,41 +1,49 @@
-"""Where a request is sent while upstreams crash under some requests.
+"""Selects upstreams such that suspects run isolated from other requests.
 
-If two suspects run beside each other, the next crash speaks against both.  So
-each gets an upstream with as few others as possible, and what is likely to
-crash the next one goes where the fewest requests are, and is left alone there.
+If two suspects run on the same upstream, its crash counts against both.  So a
+suspect is sent to an upstream with as few other suspects as possible.  One
+that is likely to crash its upstream is sent to the one with the fewest
+requests, and other requests avoid that upstream.
 """
 
-# Crashes from which on a request is likely to crash the next upstream, too.
+# A request with at least this many crashes is likely to crash its upstream.
 LIKELY_CRASHES = 2
-# Weight of a run of the same request at an upstream, in crashes of others.
+# Weight of another run of the same request on an upstream.  The weight of
+# another suspect is its number of crashes.
 SAME_WEIGHT = 4
 
 
 def select_isolated(candidates, fingerprint, crashes, runs, now):
-    """Return the UpstreamStates among some to which a request may go.
+    """Return the candidates on which a request is isolated best.
 
     :param candidates: UpstreamStates, at least one
-    :param crashes: function from a fingerprint to the crashes against it
+    :param fingerprint: fingerprint of the request
+    :param crashes: function that returns the number of crashes of a request
+        by its fingerprint
     :param runs: the SuspectRuns
-    :returns: at least one
+    :param now: monotonic time in seconds
+    :returns: UpstreamStates, at least one
     """
     own = crashes(fingerprint)
     if not own:
-        return _away_from_likely(candidates, crashes, runs, now)
+        return _avoid_likely_crashes(candidates, crashes, runs, now)
     weights = {
         state: _weight(state, fingerprint, crashes, runs, now)
         for state in candidates
     }
     least = min(weights.values())
-    apart = [state for state in candidates if weights[state] == least]
+    isolated = [state for state in candidates if weights[state] == least]
     if own < LIKELY_CRASHES:
-        return apart
-    idle = min(state.outstanding for state in apart)
-    return [state for state in apart if state.outstanding == idle]
+        return isolated
+    idle = min(state.outstanding for state in isolated)
+    return [state for state in isolated if state.outstanding == idle]
 
 
-def _away_from_likely(candidates, crashes, runs, now):
-    """Return those where nothing runs that likely crashes them, if any."""
+def _avoid_likely_crashes(candidates, crashes, runs, now):
+    """Return the candidates that no running suspect is likely to crash.
+
+    If there is none, return all.
+    """
     safe = [
         state
         for state in candidates
@@ -48,7 +56,7 @@
 
 
 def _weight(state, fingerprint, crashes, runs, now):
-    """Return how much speaks against the suspects at an upstream."""
+    """Return the total weight of the suspects that run on an upstream."""
     others = runs.fingerprints_at(state.record.run.name, now)
     return sum(
         SAME_WEIGHT if other == fingerprint else crashes(other)
--- a/rowanport/suspects/runs.py
+++ b/rowanport/suspects/runs.py
@@ -1,11 +1,11 @@
-"""Where suspects run now, here and at peers."""
+"""Tracks where suspects run, for this router and its peers."""
 
 
 class SuspectRuns:
-    """The runs of suspects that routers told of.
+    """The active runs of suspects, as announced by all routers.
 
-    A run that ended is told, too; one whose end got lost counts until the
-    deadline that it came with.
+    If the message about the end of a run is lost, the run counts until the
+    time limit that was announced with it.
     """
 
     def __init__(self):
@@ -15,25 +15,26 @@
         return len(self._until)
 
     def add(self, fingerprint, upstream, router, until):
-        """Note that a suspect runs.
+        """Add a run of a suspect.
 
-        :param upstream: name of the upstream's run
-        :param router: peer address of the router that sent it
-        :param until: steady time at which it is over at the latest
+        :param fingerprint: fingerprint of the request
+        :param upstream: name of the UpstreamRun
+        :param router: peer address of the router that sent the request
+        :param until: monotonic time at which the run ends at the latest
         """
         self._until[fingerprint, upstream, router] = until
 
     def remove(self, fingerprint, upstream, router):
-        """Note that a suspect runs no more; return whether it was counted."""
+        """Remove a run that has ended; return whether it was known."""
         key = fingerprint, upstream, router
         return self._until.pop(key, None) is not None
 
     def expire(self, now):
-        """Drop the runs that are over."""
+        """Remove the runs whose time limit has passed."""
         self._until = {k: t for k, t in self._until.items() if t > now}
 
     def count(self, fingerprint, now):
-        """Return how many runs a request has."""
+        """Return the number of active runs of a request."""
         return sum(
             1
             for (other, _upstream, _router), until in self._until.items()
@@ -41,9 +42,10 @@
         )
 
     def fingerprints_at(self, upstream, now):
-        """Return the fingerprints of the suspects that run at an upstream.
+        """Return the fingerprints of the suspects that run on an upstream.
 
-        :param upstream: name of the upstream's run
+        :param upstream: name of the UpstreamRun
+        :param now: monotonic time in seconds
         """
         return [
             fingerprint
--- a/rowanport/suspects/stored_record.py
+++ b/rowanport/suspects/stored_record.py
@@ -1,4 +1,4 @@
-"""The record of blocked requests that outlives all routers."""
+"""Encodes the record of blocked requests that is kept in the store."""
 
 import msgpack
 
@@ -7,12 +7,12 @@
 from ..schema.messages import SuspectRow
 from .table import KEEP_SECONDS
 
-# Requests that the record holds, the last ones blocked.
+# Most requests in the record; those blocked last are kept.
 RECORD_LIMIT = 256
 
 
 def pack_blocked(rows, wall):
-    """Return the bytes of the record.
+    """Return the record as bytes.
 
     :param rows: SuspectRows
     :param wall: Unix time in seconds
@@ -25,10 +25,11 @@
 
 
 def unpack_blocked(data, wall):
-    """Return the SuspectRows in a record's bytes.
+    """Return the SuspectRows of a record.
 
+    :param data: bytes of the record, empty if there is none
     :param wall: Unix time in seconds
-    :raises MessageError: the bytes are none of a record
+    :raises MessageError: the bytes are malformed
     """
     if not data:
         return []
@@ -43,7 +44,7 @@
 
 
 def _row(fingerprint, crashes, wall):
-    # A wall clock that went back since makes a crash young, not negative.
+    # If the wall clock was set back since, the age is 0 rather than negative.
     seen = [
         CrashSeen(str(run), max(0.0, wall - float(at))) for run, at in crashes
     ]
--- a/rowanport/suspects/table.py
+++ b/rowanport/suspects/table.py
@@ -1,9 +1,9 @@
-"""What all routers together know of requests that crash upstreams.
+"""The replicated table of requests that crash upstreams.
 
-A router sees only the crashes under its own requests, and a request that
-crashes upstreams comes again at any router.  So routers merge their tables:
-each crash and each later answer is kept by the upstream's run, so that the
-order in which news arrives, and how often, does not matter.
+A router only sees crashes during its own requests, but a request that crashes
+upstreams may be repeated at any router.  So the routers merge their tables.
+Crashes and clearances are sets keyed by the upstream's run, so merging is
+commutative and idempotent.
 """
 
 import bisect
@@ -14,39 +14,43 @@
 from ..schema.messages import CrashSeen
 from ..schema.messages import SuspectRow
 
-# Upstreams that have crashed under a request when it is refused everywhere.
+# Number of crashes at which a request is blocked by all routers.
 BLOCK_THRESHOLD = 3
-# Requests that would be refused for crashes within some seconds from which on
-# none of them is: then the upstreams crash by themselves, whatever they run.
+# If this many requests reach the threshold within this many seconds, none of
+# them is blocked: the upstreams then crash whatever they run.
 STORM_REQUESTS = 10
 STORM_SECONDS = 60.0
-# Seconds after which all that ran beside a refused request is known.
+# Seconds after a request is blocked until all requests that ran beside it are
+# known.
 SETTLE_SECONDS = 2.0
-# Seconds after the last crash until a request is forgotten, one that is
-# refused and one that is not.
+# Seconds after the last crash until a request expires: one that reached the
+# threshold, and one that did not.
 KEEP_SECONDS = 3600.0
 SUSPECT_SECONDS = 600.0
-# The same from its last answer on, long enough for all routers to hear of it.
+# Seconds until a cleared request expires, long enough for all routers to learn
+# that it was cleared.
 CLEARED_SECONDS = 30.0
-# Requests that are kept.
+# Most requests in the table.
 TABLE_LIMIT = 4096
-# Crashes that are kept of one request.
+# Most crashes kept per request.
 CRASH_LIMIT = 8
-# Rows in one message: the newest ones, and some others in turn.
+# Most rows in one message: the last changed ones, and a batch of the others.
 NEWEST_LIMIT = 16
 OTHERS_LIMIT = 16
 
 
 class Suspect:
-    """A request under which upstreams crashed.
-
-    :ivar crashes: steady time of the crash by name of the upstream's run
-    :ivar cleared: names of runs after whose crash it was answered whole
-    :ivar blocked: whether it is refused, as the table judges
-    :ivar source: peer address of the router that saw the last of these
-    :ivar stored: whether the store holds that it is blocked
-    :ivar changed_at: steady time at which it was last changed here
-    :ivar forget_at: steady time at which it is forgotten
+    """A request during which upstreams crashed.
+
+    :ivar fingerprint: fingerprint of the request
+    :ivar crashes: monotonic time of the crash, by name of the UpstreamRun
+    :ivar cleared: names of the runs whose crash does not count any more, as
+        the request got a complete answer later, or another one explains it
+    :ivar blocked: whether it is blocked, as decided by the table
+    :ivar source: peer address of the router that saw the last change
+    :ivar stored: whether the record in the store contains it
+    :ivar changed_at: monotonic time of the last change at this router
+    :ivar forget_at: monotonic time at which it expires
     """
 
     __slots__ = (
@@ -74,12 +78,15 @@
 
     @property
     def uncleared_crashes(self):
-        """Return the runs whose crash no later answer has cleared it of."""
+        """Return the names of the runs whose crash still counts."""
         return [run for run in self.crashes if run not in self.cleared]
 
     @property
     def threshold_at(self):
-        """Return the steady time of its third open crash, None before it."""
+        """Return the monotonic time at which it reached the threshold.
+
+        :returns: None if it has not
+        """
         times = sorted(self.crashes[run] for run in self.uncleared_crashes)
         if len(times) < BLOCK_THRESHOLD:
             return None
@@ -87,15 +94,16 @@
 
     @property
     def digest(self):
-        """Return a number that only its content decides, 0 if cleared."""
+        """Return a hash of the replicated content, 0 if it is cleared."""
         return self._digest
 
     def add_crashes(self, crashes):
-        """Take in crashes; return whether this changes those that are kept.
+        """Merge crashes; return whether the set of crashes changes.
 
-        Where there are too many, all routers keep the same ones.
+        Above CRASH_LIMIT the first ones by name are kept, so that all routers
+        keep the same ones.
 
-        :param crashes: steady time by name of the upstream's run
+        :param crashes: monotonic time by name of the UpstreamRun
         """
         known = set(self.crashes)
         self.crashes = {**crashes, **self.crashes}
@@ -105,7 +113,7 @@
         return known != set(self.crashes)
 
     def refresh(self, now):
-        """Note that it was changed."""
+        """Update the digest and the expiry after a change."""
         self.changed_at = now
         self.forget_at = self._forget_at(now)
         self._digest = 0
@@ -124,7 +132,7 @@
 
 
 class SuspectTable:
-    """All Suspects that a router knows of.
+    """The Suspects known to a router, ordered by their last change.
 
     :param address: this router's peer address
     """
@@ -133,25 +141,27 @@
         self._address = address
         self._suspects = collections.OrderedDict()
         self._digest = 0
-        self._turn = 0
-        self._at_limit = {}
+        self._batch_start = 0
+        self._at_threshold = {}
 
     def __len__(self):
         return len(self._suspects)
 
     @property
     def digest(self):
-        """Return a number that is the same where the same is known."""
+        """Return a hash that is equal for routers with equal tables."""
         return self._digest
 
     @property
     def blocked(self):
-        """Return the fingerprints of the requests that are refused."""
-        return {s.fingerprint for s in self._at_limit.values() if s.blocked}
+        """Return the fingerprints of the blocked requests."""
+        return {
+            s.fingerprint for s in self._at_threshold.values() if s.blocked
+        }
 
     @property
     def suspects(self):
-        """Return all Suspects, those changed last at the end."""
+        """Return all Suspects, the last changed ones at the end."""
         return list(self._suspects.values())
 
     def get(self, fingerprint):
@@ -159,53 +169,56 @@
         return self._suspects.get(fingerprint)
 
     def crash_count(self, fingerprint):
-        """Return how many crashes speak against a request."""
+        """Return the number of crashes that count against a request."""
         suspect = self._suspects.get(fingerprint)
         return len(suspect.uncleared_crashes) if suspect else 0
 
     def is_blocked(self, fingerprint):
-        """Return whether a request is refused."""
+        """Return whether a request is blocked."""
         suspect = self._suspects.get(fingerprint)
         return suspect is not None and suspect.blocked
 
-    # What this router saw
+    # Events at this router
 
     def record_crash(self, fingerprint, run, now):
-        """Note that an upstream's run crashed under a request.
+        """Record that an upstream crashed during a request.
 
-        :returns: the Suspect if that is news, else None
+        :param fingerprint: fingerprint of the request
+        :param run: name of the UpstreamRun
+        :param now: monotonic time of the crash
+        :returns: the Suspect if it changes, else None
         """
         suspect = self._suspects.get(fingerprint) or Suspect(fingerprint)
         if not suspect.add_crashes({run: now}):
             return None
         suspect.source = self._address
-        self._put(suspect, now)
+        self._update(suspect, now)
         return suspect
 
     def record_success(self, fingerprint, now):
-        """Note that a request was answered whole.
+        """Clear a request that got a complete answer.
 
-        :returns: the Suspect that this clears, or None
+        :returns: the Suspect if it changes, else None
         """
         suspect = self._suspects.get(fingerprint)
         if suspect is None or not suspect.uncleared_crashes:
             return None
         suspect.cleared.update(suspect.crashes)
         suspect.source = self._address
-        self._put(suspect, now)
+        self._update(suspect, now)
         return suspect
 
     def mark_stored(self, fingerprint, now):
-        """Note that the store holds that a request is blocked."""
+        """Record that the record in the store contains a request."""
         suspect = self._suspects.get(fingerprint)
         if suspect is not None and not suspect.stored:
             suspect.stored = True
-            self._put(suspect, now)
+            self._update(suspect, now)
 
-    # What peers know
+    # Replication
 
     def row(self, suspect, now):
-        """Return the SuspectRow of a Suspect."""
+        """Return the SuspectRow that describes a Suspect to peers."""
         crashes = [
             CrashSeen(run, max(0.0, now - at))
             for run, at in suspect.crashes.items()
@@ -219,9 +232,11 @@
         )
 
     def rows_since(self, since, now):
-        """Return the newest SuspectRows.
+        """Return the SuspectRows that changed last, up to NEWEST_LIMIT.
 
-        :param since: steady time after which they changed
+        :param since: monotonic time; rows that did not change after it are
+            left out
+        :param now: monotonic time in seconds
         """
         newest = itertools.islice(
             reversed(self._suspects.values()), NEWEST_LIMIT
@@ -229,27 +244,27 @@
         return [self.row(s, now) for s in newest if s.changed_at > since]
 
     def next_rows(self, now):
-        """Return the newest SuspectRows, and others in turn.
+        """Return the last changed SuspectRows and the next batch of others.
 
-        Asked again and again, it returns all.
+        Repeated calls return all rows.
         """
         suspects = self.suspects
         others, newest = suspects[:-NEWEST_LIMIT], suspects[-NEWEST_LIMIT:]
-        if self._turn >= len(others):
-            self._turn = 0
-        some = others[self._turn : self._turn + OTHERS_LIMIT]
-        self._turn += OTHERS_LIMIT
+        if self._batch_start >= len(others):
+            self._batch_start = 0
+        some = others[self._batch_start : self._batch_start + OTHERS_LIMIT]
+        self._batch_start += OTHERS_LIMIT
         return [self.row(suspect, now) for suspect in [*newest, *some]]
 
     def merge(self, row, now):
-        """Take in a SuspectRow.
+        """Merge a SuspectRow of a peer or of the stored record.
 
-        :returns: the Suspect if it is news, else None
+        :returns: the Suspect if it changes, else None
         """
         known = self._suspects.get(row.fingerprint)
         suspect = known or Suspect(row.fingerprint)
-        # Ages count from the crash on, so that nothing is kept alive by being
-        # passed around.
+        # Ages are relative to the crash, so that replication does not extend
+        # the life of a row.
         crashes = {
             crash.upstream: now - max(0.0, crash.age)
             for crash in row.crashes
@@ -266,78 +281,78 @@
         if not news:
             return None
         suspect.source = row.source
-        self._put(suspect, now)
+        self._update(suspect, now)
         return suspect
 
-    # Bounds
+    # Expiry and limits
 
     def expire(self, now):
-        """Drop what is old; return its Suspects."""
+        """Remove and return the Suspects that have expired."""
         old = [s for s in self._suspects.values() if s.forget_at <= now]
         for suspect in old:
-            self._drop(suspect)
+            self._remove(suspect)
         return old
 
-    def _put(self, suspect, now):
+    def _update(self, suspect, now):
         if suspect.fingerprint in self._suspects:
             self._digest ^= suspect.digest
         suspect.refresh(now)
         self._digest ^= suspect.digest
         self._suspects[suspect.fingerprint] = suspect
         self._suspects.move_to_end(suspect.fingerprint)
-        self._judge(suspect)
+        self._update_blocked(suspect)
         if len(self._suspects) > TABLE_LIMIT:
-            self._drop(self._least_useful())
+            self._remove(self._eviction_candidate())
 
-    def _judge(self, suspect):
-        """Decide what is refused, after a change of one Suspect."""
-        known = suspect.fingerprint in self._at_limit
+    def _update_blocked(self, suspect):
+        """Decide which requests are blocked, after a change of a Suspect."""
+        known = suspect.fingerprint in self._at_threshold
         if known == (suspect.threshold_at is not None):
             return
         if known:
-            del self._at_limit[suspect.fingerprint]
+            del self._at_threshold[suspect.fingerprint]
             suspect.blocked = False
         else:
-            self._at_limit[suspect.fingerprint] = suspect
-        times = sorted(one.threshold_at for one in self._at_limit.values())
-        for one in self._at_limit.values():
+            self._at_threshold[suspect.fingerprint] = suspect
+        times = sorted(one.threshold_at for one in self._at_threshold.values())
+        for one in self._at_threshold.values():
             at = one.threshold_at
             first = bisect.bisect_left(times, at - STORM_SECONDS)
             last = bisect.bisect_right(times, at + STORM_SECONDS)
             one.blocked = last - first < STORM_REQUESTS
 
-    # Those that ran beside
+    # Requests that ran beside a blocked one
 
     def clear_bystanders(self, now):
-        """Clear others of the crashes that a refused request explains.
+        """Clear other Suspects of crashes that a blocked request explains.
 
-        :returns: the Suspects that this changes
+        :returns: the Suspects that change
         """
         explained = set()
-        for suspect in self._at_limit.values():
+        for suspect in self._at_threshold.values():
             if suspect.blocked and suspect.threshold_at < now - SETTLE_SECONDS:
                 explained.update(suspect.crashes)
         changed = []
         if not explained:
             return changed
         for suspect in self.suspects:
-            if suspect.fingerprint in self._at_limit:
+            if suspect.fingerprint in self._at_threshold:
                 continue
             beside = explained.intersection(suspect.uncleared_crashes)
             if beside:
                 suspect.cleared |= beside
-                self._put(suspect, now)
+                self._update(suspect, now)
                 changed.append(suspect)
         return changed
 
-    def _least_useful(self):
-        """Return the oldest Suspect that is not blocked, else the oldest."""
+    def _eviction_candidate(self):
+        """Return the Suspect to evict: the oldest one, not blocked if any."""
         for suspect in self._suspects.values():
             if not suspect.blocked:
                 return suspect
         return next(iter(self._suspects.values()))
 
-    def _drop(self, suspect):
-        self._at_limit.pop(suspect.fingerprint, None)
+    def _remove(self, suspect):
+        self._at_threshold.pop(suspect.fingerprint, None)
         self._digest ^= suspect.digest
         del self._suspects[suspect.fingerprint]
--- a/test/crash_world.py
+++ b/test/crash_world.py
@@ -1,4 +1,4 @@
-"""A fleet whose upstreams crash, on a VirtualNet."""
+"""Simulation of a fleet with crashing upstreams, on a VirtualNet."""
 
 import asyncio
 import collections
@@ -21,11 +21,11 @@
 from rowanport.web import HttpClient
 
 LETHAL = b"crashes whatever runs it"
-# Seconds after a crash until the entry goes, and until another run is back.
+# Seconds after a crash until the entry is removed, and until the restart.
 LAPSE_SECONDS = 1.5
 BACK_SECONDS = 3.0
 DEADLINE_SECONDS = 4.0
-# Enough for all requests that a crash takes with it.
+# Enough retries for all requests that a crash ends.
 RETRY_SLACK = 1000
 
 
@@ -33,7 +33,7 @@
     """An upstream that a lethal request crashes.
 
     :param lethal: bodies of requests that crash it
-    :ivar runs: bodies of the requests that it began to run
+    :ivar runs: (loop time, body) of the requests that it started to run
     """
 
     def __init__(self, name, lethal):
@@ -50,7 +50,7 @@
 class Crash:
     """One crash.
 
-    :ivar at: the loop's time
+    :ivar at: loop time of the crash
     :ivar upstream: the CrashingUpstream
     """
 
@@ -62,9 +62,9 @@
 
 
 class SuspendedClock(LoopClock):
-    """The clock of a machine that was suspended; its timers did not run.
+    """Clock of a machine that was suspended, so that its timers did not run.
 
-    :ivar slept: seconds for which it was
+    :ivar slept: duration of the suspension in seconds
     """
 
     slept = 0.0
@@ -77,12 +77,12 @@
 
 
 class CrashWorld:
-    """Routers, a store, and upstreams that come back after a crash.
+    """Routers, a store, and upstreams that restart after a crash.
 
-    :ivar lethal: bodies of requests that crash what runs them
+    :ivar lethal: bodies of requests that crash the upstream that runs them
     :ivar crashes: all Crashes so far
-    :ivar outcomes: how many requests had an outcome, by their kind and it
-    :ivar answers: status by the name of a request, or "cut"
+    :ivar outcomes: number of requests by (kind, outcome)
+    :ivar answers: status, or "cut", by the name of the request
     """
 
     def __init__(self, loop, net, routers=4, upstreams=6):
@@ -98,9 +98,9 @@
         self.random = random.Random(5)
         self._loop = loop
         self.clocks = {host: SuspendedClock(loop) for host in self.hosts}
-        self._seats = [f"10.9.0.{n}" for n in range(1, upstreams + 1)]
-        self._boots = 0
-        self._gone = []
+        self._addresses = [f"10.9.0.{n}" for n in range(1, upstreams + 1)]
+        self._starts = 0
+        self._crashed = []
         self._tasks = set()
 
     @property
@@ -111,18 +111,18 @@
     @property
     def runs(self):
         """Return the times at which lethal requests reached upstreams."""
-        everyone = [*self._gone, *self.upstreams.values()]
+        everyone = [*self._crashed, *self.upstreams.values()]
         return sorted(
             at for one in everyone for at, body in one.runs if body == LETHAL
         )
 
     async def start(self):
-        """Start all, and wait until the routers serve."""
+        """Start everything, and wait until the routers are ready."""
         HOST.set(STORE)
         await self.store.start_at(STORE, 80)
         await self.store.put("op/config", _config())
-        for seat in self._seats:
-            await self._boot(seat)
+        for address in self._addresses:
+            await self._start_upstream(address)
         for host in self.hosts:
             await self.start_router(host)
         HOST.set("caller")
@@ -140,11 +140,11 @@
         HOST.set("caller")
 
     async def kill_router(self, host):
-        """End the router of a host without a word."""
+        """Kill the router of a host, without a planned stop."""
         await self.gateways.pop(host).close()
 
     async def close(self):
-        """End everything."""
+        """Stop everything."""
         for task in self._tasks:
             task.cancel()
         for host in list(self.gateways):
@@ -153,47 +153,47 @@
 
     # Upstreams
 
-    async def _boot(self, seat):
-        self._boots += 1
-        HOST.set(seat)
-        upstream = CrashingUpstream(f"u{self._boots}", self.lethal)
-        upstream.on_crash = lambda one: self._note_crash(seat, one)
-        await upstream.start_at(seat, 80)
-        self.upstreams[seat] = upstream
+    async def _start_upstream(self, address):
+        self._starts += 1
+        HOST.set(address)
+        upstream = CrashingUpstream(f"u{self._starts}", self.lethal)
+        upstream.on_crash = lambda one: self._on_crash(address, one)
+        await upstream.start_at(address, 80)
+        self.upstreams[address] = upstream
         await self.store.put(f"servers/{upstream.name}", upstream.entry())
         HOST.set("caller")
 
-    def _note_crash(self, seat, upstream):
-        if self.upstreams.get(seat) is upstream:
+    def _on_crash(self, address, upstream):
+        if self.upstreams.get(address) is upstream:
             self.crashes.append(Crash(self.now, upstream))
-            self._gone.append(self.upstreams.pop(seat))
-            self.spawn(self._come_back(seat, upstream))
+            self._crashed.append(self.upstreams.pop(address))
+            self.spawn(self._restart_upstream(address, upstream))
 
-    async def _come_back(self, seat, upstream):
+    async def _restart_upstream(self, address, upstream):
         await asyncio.sleep(LAPSE_SECONDS)
         await self.store.remove(f"servers/{upstream.name}")
         await asyncio.sleep(BACK_SECONDS - LAPSE_SECONDS)
-        await self._boot(seat)
+        await self._start_upstream(address)
 
     def crash_busiest(self):
-        """Crash the upstream with the most requests by itself."""
+        """Crash the upstream with the most requests, whatever they are."""
         self.busiest().crash()
 
     def busiest(self):
-        """Return the upstream that has got the most requests."""
+        """Return the upstream that has received the most requests."""
         return max(self.upstreams.values(), key=lambda u: len(u.runs))
 
     # Callers
 
     def spawn(self, coroutine):
-        """Start a task; return it."""
+        """Start and return a task that :meth:`close` cancels."""
         task = self._loop.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
 
     async def ask(self, name, body, path="/stream/", host=None):
-        """Send a request once; return its status, or "cut"."""
+        """Send a request once; return its status, or "cut" if it broke."""
         host = host or self.random.choice(list(self.gateways))
         fields = [
             ("host", NAME),
@@ -220,9 +220,11 @@
             client.close()
 
     async def ask_many(self, count, pause, kind="other", **options):
-        """Send requests one after the other, each for itself.
+        """Start requests at a fixed interval, without waiting for answers.
 
-        :returns: tasks that end with them
+        :param count: number of requests
+        :param pause: interval in seconds
+        :returns: the tasks of the requests
         """
         tasks = []
         for number in range(count):
@@ -238,9 +240,9 @@
         return outcome
 
     def caught(self, crashes):
-        """Return the names of requests under which upstreams crashed.
+        """Return the names of requests that ran on upstreams that crashed.
 
-        :param crashes: how many, at least
+        :param crashes: minimum number of crashes of a request
         """
         names = collections.Counter()
         for crash in self.crashes:
@@ -259,7 +261,7 @@
 
 
 def crash_test(**options):
-    """Return a decorator of tests that are given a started CrashWorld."""
+    """Return a decorator that passes a started CrashWorld to a test."""
 
     def decorate(body):
         def test():
--- a/test/test_crashing_requests.py
+++ b/test/test_crashing_requests.py
@@ -1,17 +1,17 @@
-"""A request that crashes upstreams takes no more than three of them."""
+"""A request that crashes upstreams is blocked after about three crashes."""
 
 import asyncio
 from test.crash_world import crash_test
 from test.crash_world import LETHAL
 
-# Seconds after the third crash from which on all routers have to know.
+# Seconds after the third crash until all routers have to block the request.
 CONTACT_SECONDS = 3.0
 MOST_CRASHES = 5
 MOST_LATE_RUNS = 3
 
 
 def late_runs(world):
-    """Return the runs of the lethal request after all have to know it."""
+    """Return the runs of the lethal request after it has to be blocked."""
     if len(world.crashes) < 3:
         return []
     known_at = world.crashes[2].at + CONTACT_SECONDS
@@ -19,7 +19,7 @@
 
 
 @crash_test()
-async def test_a_request_that_crashes_upstreams_is_stopped_fleet_wide(world):
+async def test_a_request_that_crashes_upstreams_is_blocked_fleet_wide(world):
     others = world.spawn(world.ask_many(375, 1 / 15))
     lethal = world.spawn(world.ask_many(62, 0.4, "lethal", body=LETHAL))
     for tasks in (await others, await lethal):
@@ -29,19 +29,19 @@
     assert world.outcomes["other", 200] >= 350, world.outcomes
 
 
-# What the fleet knows outlives routers, the store and messages
+# Blocked requests survive failures of routers, the store and messages
 
 
-async def learn(world):
-    """Let a lethal request come until all routers refuse it."""
+async def block_lethal_request(world):
+    """Repeat a lethal request until all routers block it."""
     tasks = await world.ask_many(8, 0.4, "lethal", body=LETHAL)
     await asyncio.gather(*tasks)
     assert len(world.crashes) <= MOST_CRASHES
     assert await statuses(world) == {400}
 
 
-async def lose_power(world):
-    """Let all routers end without a word, and start again."""
+async def restart_all_routers(world):
+    """Kill all routers, and start them again."""
     for host in world.hosts:
         await world.kill_router(host)
     await asyncio.sleep(1.0)
@@ -49,10 +49,10 @@
         await world.start_router(host)
 
 
-async def check_known(world, crashed):
-    """Check that all routers refuse the request, and no upstream crashed.
+async def check_blocked(world, crashed):
+    """Check that all routers block the request without further crashes.
 
-    :param crashed: number of crashes before
+    :param crashed: number of crashes so far
     """
     await asyncio.sleep(2.0)
     assert await statuses(world) == {400}
@@ -60,42 +60,42 @@
 
 
 async def statuses(world):
-    """Return the statuses that a lethal request gets, over all routers."""
+    """Return the statuses of a lethal request at all routers."""
     return {await world.ask("x", LETHAL, host=h) for h in list(world.gateways)}
 
 
 @crash_test()
-async def test_a_router_that_starts_again_knows_what_to_refuse(world):
-    await learn(world)
+async def test_a_restarted_router_blocks_known_requests(world):
+    await block_lethal_request(world)
     crashed = len(world.crashes)
     host = world.hosts[1]
     await world.kill_router(host)
     await world.start_router(host)
-    await check_known(world, crashed)
+    await check_blocked(world, crashed)
 
 
 @crash_test()
-async def test_a_fleet_that_lost_power_knows_what_to_refuse(world):
-    await learn(world)
+async def test_a_restarted_fleet_blocks_known_requests(world):
+    await block_lethal_request(world)
     await asyncio.sleep(1.0)
     crashed = len(world.crashes)
-    await lose_power(world)
-    await check_known(world, crashed)
+    await restart_all_routers(world)
+    await check_blocked(world, crashed)
 
 
 @crash_test()
-async def test_what_is_learned_while_the_store_is_out_lasts(world):
+async def test_requests_blocked_during_a_store_outage_are_stored_later(world):
     world.store.fault = "silent"
-    await learn(world)
+    await block_lethal_request(world)
     crashed = len(world.crashes)
     world.store.fault = ""
     await asyncio.sleep(5.0)
-    await lose_power(world)
-    await check_known(world, crashed)
+    await restart_all_routers(world)
+    await check_blocked(world, crashed)
 
 
 @crash_test()
-async def test_lost_messages_delay_what_the_fleet_knows_by_a_second(world):
+async def test_requests_are_blocked_even_if_messages_are_lost(world):
     for gateway in world.gateways.values():
         gateway._peers.tell = lambda *_args: None
     for number in range(8):
@@ -106,8 +106,8 @@
 
 
 @crash_test()
-async def test_a_verdict_costs_one_write_of_the_store(world):
-    await learn(world)
+async def test_a_blocked_request_is_written_to_the_store_once(world):
+    await block_lethal_request(world)
     await asyncio.sleep(20.0)
     record = world.store.items["rowanport/blocked"]
     assert await statuses(world) == {400}
@@ -115,12 +115,12 @@
     assert world.store.items["rowanport/blocked"] == record
 
 
-# The innocent
+# Harmless requests are not blocked
 
 
 @crash_test(routers=4)
-async def test_nothing_is_refused_after_ordinary_crashes_in_a_row(world):
-    # Each crash takes dozens of requests with it, which callers repeat.
+async def test_unrelated_crashes_block_nothing(world):
+    # Each crash ends dozens of requests, which callers repeat.
     others = world.spawn(world.ask_many(600, 0.02, "innocent"))
     for _crash in range(4):
         await asyncio.sleep(2.5)
@@ -131,8 +131,8 @@
 
 
 @crash_test(upstreams=8)
-async def test_the_same_request_of_many_callers_is_not_blamed(world):
-    # A poll looks the same each time and is always under way somewhere.
+async def test_equal_requests_of_many_callers_are_not_blocked(world):
+    # Polls have equal fingerprints, and some are always in flight.
     polls = world.spawn(
         world.ask_many(900, 0.01, "poll", body=b"poll", path="/safe/")
     )
@@ -145,7 +145,7 @@
 
 
 @crash_test()
-async def test_broken_answers_of_upstreams_that_live_block_nothing(world):
+async def test_broken_answers_without_crashes_block_nothing(world):
     for number in range(6):
         for upstream in world.upstreams.values():
             upstream.script = ["break"]
@@ -158,39 +158,40 @@
 
 @crash_test()
 async def test_requests_beside_a_lethal_one_are_served(world):
-    # All run at one upstream when the lethal request comes to it.
+    # All run on one upstream when the lethal request is sent to it.
     others = world.spawn(world.ask_many(200, 0.01))
     await asyncio.sleep(0.5)
     lethal = world.spawn(world.ask_many(20, 0.1, "lethal", body=LETHAL))
     for tasks in (await others, await lethal):
         await asyncio.gather(*tasks)
     assert len(world.crashes) <= MOST_CRASHES
-    # Streams may be sent to two upstreams, so two crashes end one.
+    # Streams may be sent to two upstreams, so two crashes end a stream.
     caught = world.caught(2)
     cut = {name for name, status in world.answers.items() if status == "cut"}
     assert cut <= caught
     assert set(world.answers.values()) <= {200, 400, 502, "cut"}
 
 
-# A machine that was suspended
+# Suspended machines
 
 
 @crash_test()
-async def test_a_router_that_was_suspended_knows_what_to_refuse(world):
-    await learn(world)
+async def test_a_suspended_router_blocks_known_requests(world):
+    await block_lethal_request(world)
     crashed = len(world.crashes)
     world.clocks[world.hosts[0]].slept = 6.0
     assert await statuses(world) == {400}
-    await check_known(world, crashed)
+    await check_blocked(world, crashed)
 
 
 @crash_test()
-async def test_a_router_that_was_suspended_sends_nothing_again(world):
+async def test_a_suspended_router_does_not_repeat_requests(world):
     host = world.hosts[0]
     asking = [world.ask(f"s{n}", b"s%d" % n, host=host) for n in range(12)]
     tasks = [world.spawn(one) for one in asking]
     await asyncio.sleep(0.4)
-    # Shorter than callers wait, longer than a stream may be silent.
+    # Shorter than the callers' deadline, longer than the time after which a
+    # stream counts as stalled.
     world.clocks[host].slept = 2.5
     assert await asyncio.gather(*tasks) == [200] * 12
     assert sum(len(u.heads) for u in world.upstreams.values()) == 12
--- a/test/test_suspects.py
+++ b/test/test_suspects.py
@@ -1,4 +1,4 @@
-"""What routers together know of requests that crash upstreams."""
+"""Tables of requests that crash upstreams, and isolation of suspects."""
 
 import random
 
@@ -26,7 +26,7 @@
 from rowanport.suspects.table import SUSPECT_SECONDS
 from rowanport.suspects.table import TABLE_LIMIT
 
-PRINT = 2**64 - 1
+FINGERPRINT = 2**64 - 1
 NOW = 100.0
 
 
@@ -35,8 +35,8 @@
     return SuspectTable("here")
 
 
-def crash(table, *runs, fingerprint=PRINT, now=NOW):
-    """Let upstreams crash under a request."""
+def crash(table, *runs, fingerprint=FINGERPRINT, now=NOW):
+    """Record crashes of upstreams during a request."""
     for run in runs:
         table.record_crash(fingerprint, run, now)
 
@@ -45,38 +45,38 @@
     return [table.row(suspect, now) for suspect in table.suspects]
 
 
-# Evidence
+# Crashes and answers
 
 
 def test_three_crashes_block_a_request(table):
     crash(table, "a", "b")
-    assert not table.is_blocked(PRINT)
+    assert not table.is_blocked(FINGERPRINT)
     crash(table, "c")
-    assert table.is_blocked(PRINT)
+    assert table.is_blocked(FINGERPRINT)
 
 
 def test_a_crash_counts_once_however_often_it_is_seen(table):
     crash(table, "a", "a")
-    assert table.crash_count(PRINT) == 1
-    assert table.record_crash(PRINT, "a", NOW) is None
+    assert table.crash_count(FINGERPRINT) == 1
+    assert table.record_crash(FINGERPRINT, "a", NOW) is None
 
 
-def test_a_whole_answer_clears_a_request(table):
+def test_a_complete_answer_clears_a_request(table):
     crash(table, "a", "b")
-    assert table.record_success(PRINT, NOW)
+    assert table.record_success(FINGERPRINT, NOW)
     crash(table, "c")
-    assert table.crash_count(PRINT) == 1
+    assert table.crash_count(FINGERPRINT) == 1
     assert table.record_success(2, NOW) is None
 
 
-def test_a_crash_after_a_whole_answer_counts_again(table):
+def test_crashes_after_a_complete_answer_count_again(table):
     crash(table, "a")
-    table.record_success(PRINT, NOW)
+    table.record_success(FINGERPRINT, NOW)
     crash(table, "b", "c", "d")
-    assert table.is_blocked(PRINT)
+    assert table.is_blocked(FINGERPRINT)
 
 
-def test_a_refused_request_explains_the_crashes_of_others(table):
+def test_a_blocked_request_clears_others_of_its_crashes(table):
     crash(table, "a", "b", "c", fingerprint=1)
     crash(table, "a", "b", fingerprint=2)
     crash(table, "c", "d", fingerprint=3)
@@ -89,13 +89,13 @@
     assert not table.clear_bystanders(NOW + SETTLE_SECONDS + 0.2)
 
 
-def test_upstreams_that_crash_whatever_they_run_block_nothing(table):
+def test_a_storm_of_crashes_blocks_nothing(table):
     for number in range(STORM_REQUESTS):
         crash(table, "a", "b", "c", fingerprint=number, now=NOW + number)
     assert not table.blocked
     assert table.crash_count(1) == 3
     assert not table.clear_bystanders(NOW + 30)
-    # One alone, later, is to blame again.
+    # A single one after the storm is blocked again.
     late = NOW + STORM_SECONDS + STORM_REQUESTS
     crash(table, "e", "f", "g", fingerprint=1000, now=late)
     assert table.blocked == {1000}
@@ -112,8 +112,8 @@
 # Merging
 
 
-class Forgetful(SuspectTable):
-    """Takes an earlier crash again after it was cleared of it."""
+class UndoesClearances(SuspectTable):
+    """Faulty table: a merged row can undo clearances."""
 
     def merge(self, row, now):
         suspect = super().merge(row, now)
@@ -124,7 +124,7 @@
 
 
 def merge_at_random(make, seed):
-    """Let three tables see and tell in a random order; return them."""
+    """Return three tables after random events and merges."""
     draw = random.Random(seed)
     tables = [make(f"r{n}") for n in range(3)]
     messages = []
@@ -138,7 +138,7 @@
         else:
             messages += rows_of(table)
         if messages and draw.random() < 0.7:
-            # Old ones come again, and some never.
+            # Messages are repeated, reordered and lost.
             draw.choice(tables).merge(draw.choice(messages), NOW)
     for _round in range(2):
         for table in tables:
@@ -159,33 +159,38 @@
     return known[1:] != known[:-1] or len({t.digest for t in tables}) > 1
 
 
-def test_routers_come_to_know_the_same_in_whatever_order_news_come():
+def test_tables_converge_whatever_the_order_of_messages():
     for seed in range(300):
         assert not differ(merge_at_random(SuspectTable, seed)), seed
 
 
-def test_a_table_that_forgets_what_was_cleared_is_found():
-    assert any(differ(merge_at_random(Forgetful, s)) for s in range(300))
+def test_a_table_that_undoes_clearances_does_not_converge():
+    assert any(
+        differ(merge_at_random(UndoesClearances, s)) for s in range(300)
+    )
 
 
-def test_ages_do_not_grow_younger_by_being_passed_on(table):
+def test_replication_keeps_the_age_of_crashes(table):
     crash(table, "a")
     other = SuspectTable("there")
-    row = table.row(table.get(PRINT), NOW + 50)
+    row = table.row(table.get(FINGERPRINT), NOW + 50)
     other.merge(row, NOW + 60)
-    assert other.get(PRINT).crashes == {"a": NOW + 10}
-    # What comes back is known already.
-    assert table.merge(other.row(other.get(PRINT), NOW + 60), NOW + 60) is None
+    assert other.get(FINGERPRINT).crashes == {"a": NOW + 10}
+    # The row that comes back is known already.
+    assert (
+        table.merge(other.row(other.get(FINGERPRINT), NOW + 60), NOW + 60)
+        is None
+    )
 
 
-def test_a_router_knows_who_saw_a_crash(table):
+def test_the_source_of_a_crash_is_replicated(table):
     crash(table, "a")
     other = SuspectTable("there")
-    other.merge(table.row(table.get(PRINT), NOW), NOW)
-    assert other.get(PRINT).source == "here"
+    other.merge(table.row(table.get(FINGERPRINT), NOW), NOW)
+    assert other.get(FINGERPRINT).source == "here"
 
 
-def test_absurd_rows_change_nothing(table):
+def test_rows_with_invalid_values_are_bounded(table):
     old = SuspectRow(1, [CrashSeen("a", KEEP_SECONDS)], [], "x", True)
     assert table.merge(old, NOW) is None
     assert table.merge(SuspectRow(1, [], ["a"], "x", True), NOW) is None
@@ -205,14 +210,14 @@
             for other in tables:
                 for row in rows_of(other):
                     table.merge(row, NOW)
-    assert len(tables[0].get(PRINT).crashes) == CRASH_LIMIT
+    assert len(tables[0].get(FINGERPRINT).crashes) == CRASH_LIMIT
     assert not differ(tables)
 
 
 # Bounds
 
 
-def test_what_is_old_is_forgotten(table):
+def test_suspects_expire(table):
     crash(table, "a", fingerprint=1)
     crash(table, "a", "b", "c", fingerprint=2)
     crash(table, "a", fingerprint=3)
@@ -234,7 +239,7 @@
     assert not table.crash_count(2)
 
 
-def test_a_router_that_starts_is_told_all_in_time(table):
+def test_repeated_messages_contain_all_rows(table):
     for number in range(200):
         crash(table, "a", fingerprint=number)
     other = SuspectTable("there")
@@ -246,14 +251,14 @@
     assert other.digest == table.digest
 
 
-def test_only_what_is_new_is_told_again(table):
+def test_rows_since_contains_recent_changes_only(table):
     crash(table, "a", fingerprint=1)
     crash(table, "a", fingerprint=2, now=NOW + 5)
     (row,) = table.rows_since(NOW, NOW + 5)
     assert row.fingerprint == 2
 
 
-# Placing
+# Isolation
 
 
 def state(name):
@@ -261,7 +266,7 @@
     return UpstreamState(record)
 
 
-def placed(table, runs, states, fingerprint=PRINT):
+def isolated(table, runs, states, fingerprint=FINGERPRINT):
     chosen = select_isolated(states, fingerprint, table.crash_count, runs, NOW)
     return [one.record.id for one in chosen]
 
@@ -274,39 +279,39 @@
     crash(table, "a")
     runs.add(1, "u1", "there", NOW + 5)
     runs.add(2, "u2", "there", NOW + 5)
-    assert placed(table, runs, states) == ["u3"]
-    # Beside the one that less speaks against, if it must be.
-    assert placed(table, runs, states[:2]) == ["u1"]
+    assert isolated(table, runs, states) == ["u3"]
+    # If none is free, beside the suspect with fewer crashes.
+    assert isolated(table, runs, states[:2]) == ["u1"]
 
 
 def test_a_suspect_is_not_sent_where_the_same_request_runs(table):
     runs = SuspectRuns()
     crash(table, "a")
     crash(table, "a", "b", fingerprint=2)
-    runs.add(PRINT, "u1", "there", NOW + 5)
+    runs.add(FINGERPRINT, "u1", "there", NOW + 5)
     runs.add(2, "u2", "there", NOW + 5)
-    assert placed(table, runs, [state("u1"), state("u2")]) == ["u2"]
+    assert isolated(table, runs, [state("u1"), state("u2")]) == ["u2"]
 
 
-def test_what_likely_crashes_an_upstream_goes_where_the_fewest_run(table):
+def test_a_likely_crash_goes_to_the_least_busy_upstream(table):
     states = [state("u1"), state("u2")]
     states[0].outstanding = 3
     crash(table, "a")
-    assert placed(table, SuspectRuns(), states) == ["u1", "u2"]
+    assert isolated(table, SuspectRuns(), states) == ["u1", "u2"]
     crash(table, "b")
-    assert placed(table, SuspectRuns(), states) == ["u2"]
+    assert isolated(table, SuspectRuns(), states) == ["u2"]
 
 
-def test_others_stay_away_from_what_likely_crashes_an_upstream(table):
+def test_other_requests_avoid_a_likely_crash(table):
     runs = SuspectRuns()
     states = [state("u1"), state("u2")]
     crash(table, "a", "b", fingerprint=2)
     runs.add(2, "u1", "there", NOW + 5)
-    assert placed(table, runs, states) == ["u2"]
-    assert placed(table, runs, states[:1]) == ["u1"]
+    assert isolated(table, runs, states) == ["u2"]
+    assert isolated(table, runs, states[:1]) == ["u1"]
 
 
-def test_a_run_whose_end_was_not_heard_counts_until_its_deadline():
+def test_a_run_without_an_announced_end_counts_until_its_limit():
     runs = SuspectRuns()
     runs.add(1, "u1", "there", NOW + 5)
     runs.add(1, "u2", "here", NOW + 9)
@@ -323,13 +328,13 @@
 
 
 class Job:
-    """What counts of a job here."""
+    """Stub of a Job."""
 
     def __init__(self, fingerprint):
         self.fingerprint = fingerprint
 
 
-def test_what_runs_at_an_upstream_is_known_until_it_ends():
+def test_requests_are_tracked_until_they_end():
     sends = InFlightSends()
     run = state("u1").record.run
     first = sends.add(Job(1), run, NOW)
@@ -341,34 +346,34 @@
     assert sends.first_ended_at("u1") == NOW + 1
     assert sends.runs_that_ended(2) == ["u1"]
     assert sends.sends_of(3) == [third]
-    assert sends.pop_all("u1") == [second, third]
+    assert sends.collect_all("u1") == [second, third]
     assert not sends.runs_that_ended(2)
 
 
-def test_what_ended_long_ago_says_nothing_of_a_crash():
+def test_requests_that_ended_long_ago_do_not_count():
     sends = InFlightSends()
     run = state("u1").record.run
     sends.mark_ended(sends.add(Job(1), run, NOW), NOW)
     sends.mark_ended(sends.add(Job(2), run, NOW), NOW + 10)
-    assert [f.job.fingerprint for f in sends.pop_all("u1")] == [2]
+    assert [f.job.fingerprint for f in sends.collect_all("u1")] == [2]
 
 
-# The record
+# The stored record
 
 
-def test_the_record_brings_back_what_was_blocked(table):
+def test_the_record_restores_blocked_requests(table):
     crash(table, "a", "b", "c")
     data = pack_blocked(rows_of(table), 5000.0)
     (row,) = unpack_blocked(data, 5010.0)
     other = SuspectTable("there")
     other.merge(row, NOW)
-    assert other.is_blocked(PRINT)
-    assert other.get(PRINT).stored
-    assert other.get(PRINT).crashes["a"] == NOW - 10.0
+    assert other.is_blocked(FINGERPRINT)
+    assert other.get(FINGERPRINT).stored
+    assert other.get(FINGERPRINT).crashes["a"] == NOW - 10.0
     assert unpack_blocked(data, 5000.0 + KEEP_SECONDS) == []
 
 
-def test_a_wall_clock_that_went_back_loses_nothing(table):
+def test_a_wall_clock_set_back_loses_nothing(table):
     crash(table, "a", "b", "c")
     (row,) = unpack_blocked(pack_blocked(rows_of(table), 5000.0), 4000.0)
     assert [crash.age for crash in row.crashes] == [0.0] * 3
@@ -385,10 +390,10 @@
 @pytest.mark.parametrize(
     "data", [b"\xc1", b"\x01", b"\x91\x01", b"\x91\x92\x01\x91\x01", b"text"]
 )
-def test_bytes_that_are_no_record_are_an_error(data):
+def test_malformed_records_are_an_error(data):
     with pytest.raises(MessageError):
         unpack_blocked(data, 0.0)
 
 
-def test_no_record_blocks_nothing():
+def test_an_empty_record_blocks_nothing():
     assert unpack_blocked(b"", 0.0) == []
