--- a/rowanport/gateway/race.py
+++ b/rowanport/gateway/race.py
@@ -1,24 +1,28 @@
-"""Several runs of one request at once, of which the first to go on stays."""
+"""Races hedged runs of one request; the first to make progress wins."""
 
 import asyncio
 
 from ..errors import UpstreamError
 from .relay import is_stream
 
-# Longest time in seconds for which a run that has begun holds up one that goes
-# on: two engines may work on one request for 0.4 s.
-OVERLAP = 0.3
+# Seconds for which a run that makes progress waits for another one that has
+# begun to answer: two engines may run the same request for at most 0.4 s.
+MAX_OVERLAP = 0.3
 
 
 class Race:
-    """Waits for the first of some Attempts to go on.
+    """Waits for the first of several Attempts to make progress.
 
-    :param first: the Attempt that is silent
-    :param second: the one that was asked beside it
+    An Attempt makes progress once it is ``proved``.
+
+    :param first: the unresponsive Attempt
+    :param second: its hedge
     :param responder: the Responder of the caller
     :param clock: a Clock
-    :param ask: function of a silent Attempt that returns one more, or None
-    :param drop: function of an Attempt and the UpstreamError that ended it
+    :param ask: function of an unresponsive Attempt that starts a further
+        hedge; returns the Attempt, or None if that is not allowed
+    :param drop: function that is called with a failed Attempt and its
+        UpstreamError
     """
 
     def __init__(self, first, second, responder, clock, ask, drop):
@@ -27,17 +31,17 @@
         self._clock = clock
         self._ask = ask
         self._drop = drop
-        # The task that waits for each one's proof.
+        # Tasks that wait until an Attempt is proved, by Attempt.
         self._proofs = {}
 
     @property
     def attempts(self):
-        """Return the Attempts that have not failed."""
+        """Return the Attempts that have not failed, the oldest first."""
         return list(self._attempts)
 
     @property
     def _proved(self):
-        """Return the latest Attempt that goes on, None if none does."""
+        """Return the latest Attempt that is proved, or None."""
         for attempt in reversed(self._attempts):
             if attempt.proved:
                 return attempt
@@ -45,10 +49,10 @@
 
     @property
     def _winner(self):
-        """Return the Attempt that ends the race, None while there is none.
+        """Return the Attempt that wins the race, or None if undecided.
 
-        A stream that has begun elsewhere runs there: its earlier run must
-        end, even if it goes on after all.
+        A stream that has begun at a later Attempt runs there, so an earlier
+        one does not win any more, even if it makes progress after all.
         """
         for attempt in reversed(self._attempts):
             if attempt.proved:
@@ -58,40 +62,43 @@
         return None
 
     async def run(self):
-        """Return the Attempt that goes on, or the last that has not failed.
+        """Return the winner, or the last Attempt that has not failed.
 
-        The last one is left as it is, also if it failed in the same moment:
-        who waits for it hears of that.
+        The last Attempt is returned even if it fails at the same time; its
+        error is then raised when the caller waits for its answer.
         """
         try:
             while len(self._attempts) > 1:
-                news = await self._wait_for_news()
+                progressed = await self._wait_for_progress()
                 self._drop_failed()
-                winner = self._winner if news else self._proved
+                winner = self._winner if progressed else self._proved
                 if winner is not None:
                     return winner
         finally:
-            await _end(self._proofs.values())
+            await _cancel(self._proofs.values())
         return self._attempts[0]
 
-    async def _wait_for_news(self):
-        """Wait until an Attempt goes on or fails; return whether one did.
+    async def _wait_for_progress(self):
+        """Wait until an Attempt is proved or fails; return whether one did.
 
-        If all stay silent for too long, one more upstream is asked.
+        If all Attempts are unresponsive for too long, a further hedge is
+        started.
         """
         self._start_proofs()
-        waits = [proof for proof in self._proofs.values() if not proof.done()]
+        pending = [
+            proof for proof in self._proofs.values() if not proof.done()
+        ]
         done, _ = await asyncio.wait(
-            waits,
-            timeout=self._patience(),
+            pending,
+            timeout=self._timeout(),
             return_when=asyncio.FIRST_COMPLETED,
         )
         if done:
             return True
         if self._proved is None:
-            other = self._ask(self._attempts[-1])
-            if other is not None:
-                self._attempts.append(other)
+            hedge = self._ask(self._attempts[-1])
+            if hedge is not None:
+                self._attempts.append(hedge)
         return False
 
     def _start_proofs(self):
@@ -100,17 +107,17 @@
                 proof = asyncio.ensure_future(attempt.prove())
                 self._proofs[attempt] = proof
 
-    def _patience(self):
-        """Return the seconds to wait for news, None for any."""
+    def _timeout(self):
+        """Return the time-out of the wait in seconds, None for no limit."""
         if self._proved is not None:
-            return OVERLAP
+            return MAX_OVERLAP
         silent_at = self._attempts[-1].silent_at
         if silent_at is None:
             return None
         return max(0.0, silent_at - self._clock.steady())
 
     def _drop_failed(self):
-        """Take out the Attempts that failed, but for the last one."""
+        """Remove the Attempts that failed, except for the last one."""
         for attempt in list(self._attempts):
             error = self._error_of(attempt)
             if error is not None and len(self._attempts) > 1:
@@ -118,7 +125,7 @@
                 self._attempts.remove(attempt)
 
     def _error_of(self, attempt):
-        """Return why an Attempt is of no use, None if it may be."""
+        """Return the UpstreamError of an Attempt, None if it has none."""
         proof = self._proofs.get(attempt)
         if proof is None or not proof.done():
             return None
@@ -130,7 +137,7 @@
         return None
 
 
-async def _end(tasks):
+async def _cancel(tasks):
     """Cancel tasks, and wait until they have ended."""
     for task in tasks:
         task.cancel()
--- a/rowanport/gateway/rate_limits.py
+++ b/rowanport/gateway/rate_limits.py
@@ -1,4 +1,4 @@
-"""Keeps the rate limits that upstreams name, together with the peers."""
+"""Enforces the rate limits that upstreams name, together with the peers."""
 
 import structlog
 
@@ -20,23 +20,24 @@
 
 LOG = structlog.get_logger(__name__)
 
-# Longest wait in seconds for a permit: many round trips within a region, and
-# short against every objective.
+# Time-out in seconds of a request for permits: many round trips within a
+# region, and short compared to every objective.
 PERMIT_TIMEOUT = 0.1
-# Seconds for which a router that gave no answer is passed over.
-PASS_OVER_SECONDS = 1.0
+# Seconds for which a router that did not answer is not asked for permits.
+UNAVAILABLE_SECONDS = 1.0
 
 
 class RateLimits:
-    """The rate limits of all upstreams, and permits to send to these.
+    """The rate limits of all upstreams, and the permits to send to them.
 
-    For each upstream one router grants permits to all; if it is away, the
-    next one in an order that all agree on.
+    For each upstream one router grants permits to all routers.  If that one is
+    unavailable, the next one in the rendezvous order does, which is the same
+    at all routers.
 
     :param peers: a PeerClient
     :param members: the Membership
-    :param listeners: function that returns the addresses of the peers that
-        are told news at once
+    :param listeners: function that returns the addresses of the peers to
+        which changes are sent at once
     :param address: this router's peer address
     :param clock: a Clock
     :param metrics: the GatewayMetrics
@@ -49,36 +50,36 @@
         self._address = address
         self._clock = clock
         self._metrics = metrics
-        self._named = NamedLimits()
-        self._book = PermitBook()
+        self._limits = NamedLimits()
+        self._permit_book = PermitBook()
         self._own_share = PermitBook()
         self._purse = Purse()
-        self._away_until = {}
+        self._unavailable_until = {}
         self._unreadable = {}
 
-    # What upstreams say
+    # Limits named by upstreams
 
     def record_answer(self, run, text):
-        """Take in what an upstream's answer says of its limit.
+        """Record the rate limit that an answer of an upstream names.
 
         :param run: the UpstreamRun
-        :param text: the limit that it names, None if it names none
+        :param text: value of the header, None if the answer has none
         """
         rate = None
         if text is not None:
             try:
                 rate = read_limit(text)
             except MessageError as error:
-                return self._note_unreadable(run, text, error)
+                return self._log_unreadable(run, text, error)
         now = self._clock.steady()
-        if self._named.note(run.name, rate, now, now):
-            self._note_change(run.name, rate, None)
-            row = self._named.row(run.name, now)
-            news = LimitNews([row], self._address)
-            self._peers.tell(self._listeners(), news)
-
-    def _note_unreadable(self, run, text, error):
-        """Log once what an upstream says instead of a limit."""
+        if self._limits.note(run.name, rate, now, now):
+            self._on_change(run.name, rate, None)
+            row = self._limits.row(run.name, now)
+            message = LimitNews([row], self._address)
+            self._peers.tell(self._listeners(), message)
+
+    def _log_unreadable(self, run, text, error):
+        """Log a limit that cannot be parsed, unless it repeats the last."""
         if self._unreadable.get(run.name) != text:
             self._unreadable[run.name] = text
             LOG.warning(
@@ -87,18 +88,23 @@
                 error=str(error),
             )
 
-    def _note_change(self, name, rate, heard_from):
+    def _on_change(self, name, rate, heard_from):
         LOG.info(
             "upstream_limit", upstream=name, rate=rate, heard_from=heard_from
         )
-        self._metrics.limited_upstreams.set({}, self._named.count)
+        self._metrics.limited_upstreams.set({}, self._limits.count)
 
     def retain(self, names):
-        """Forget all upstreams but some.
+        """Drop the state of all upstreams that are no longer listed.
 
-        :param names: names of upstreams' runs
+        :param names: names of the runs of the listed upstreams
         """
-        for part in (self._named, self._book, self._own_share, self._purse):
+        for part in (
+            self._limits,
+            self._permit_book,
+            self._own_share,
+            self._purse,
+        ):
             part.keep(names)
         self._unreadable = {
             name: text
@@ -106,42 +112,46 @@
             if name in names
         }
 
-    # Where requests may go
+    # Selecting upstreams
 
     def with_permits(self, candidates, now):
-        """Return the UpstreamStates among some that may have a permit left.
+        """Return the candidates for which a permit may be available now.
 
-        :raises RequestError: none has, with the time of the next permit
+        :param candidates: UpstreamStates
+        :param now: monotonic time in seconds
+        :raises RequestError: there is no permit for any of them; the error
+            carries the time of the next one
         """
-        if not self._named.count:
+        if not self._limits.count:
             return candidates
-        times = {state: self._open_at(state, now) for state in candidates}
-        fit = [state for state in candidates if times[state] <= now]
-        if candidates and not fit:
+        times = {state: self._available_at(state, now) for state in candidates}
+        available = [state for state in candidates if times[state] <= now]
+        if candidates and not available:
             raise RequestError(
                 ErrorKind.OVERLOADED,
-                "all upstreams get as much as they take",
+                "the rate limits of all upstreams are exhausted",
                 come_back_at=min(times.values()),
             )
-        return fit
+        return available
 
     def unlimited(self, candidates):
-        """Return the UpstreamStates among some that name no limit."""
-        if not self._named.count:
+        """Return the UpstreamStates among candidates without a rate limit."""
+        if not self._limits.count:
             return candidates
         return [state for state in candidates if self._rate(state) is None]
 
     def _rate(self, state):
-        return self._named.rate(state.record.run.name)
+        return self._limits.rate(state.record.run.name)
 
-    def _open_at(self, state, now):
+    def _available_at(self, state, now):
         if self._rate(state) is None:
             return now
         return self._purse.open_at(state.record.run.name, now)
 
     async def acquire(self, state):
-        """Take a permit to send to an upstream, if it takes one now.
+        """Acquire a permit to send to an upstream, unless it has no limit.
 
+        :param state: the UpstreamState
         :returns: whether the request may be sent
         """
         rate = self._rate(state)
@@ -150,7 +160,7 @@
         name = state.record.run.name
         if self._purse.take(name, self._clock.steady()):
             return True
-        await self._ask(name, rate)
+        await self._request_permits(name, rate)
         taken = self._purse.take(name, self._clock.steady())
         outcome = "granted" if taken else "denied"
         self._metrics.permits.inc({"outcome": outcome})
@@ -158,14 +168,14 @@
 
     # Permits
 
-    async def _ask(self, name, rate):
-        """Ask for permits; what comes of it is in the purse."""
+    async def _request_permits(self, name, rate):
+        """Request permits and add those granted to the purse."""
         now = self._clock.steady()
         routers = self._routers(now)
         wanted = chunk(rate, len(routers))
         granter = rendezvous(name, routers)[0]
         if granter == self._address:
-            grant = self._book.grant(name, rate, wanted, now)
+            grant = self._permit_book.grant(name, rate, wanted, now)
             return self._purse.add(name, *grant, now)
         ask = PermitAsk(name, rate, wanted)
         try:
@@ -178,51 +188,59 @@
         self._purse.add(name, answer.count, next_at, now)
 
     def _grant_share(self, name, rate, granter, routers):
-        """Take this router's share where nobody grants permits."""
+        """Grant from this router's share while the granter is unavailable."""
         now = self._clock.steady()
-        self._away_until[granter] = now + PASS_OVER_SECONDS
+        self._unavailable_until[granter] = now + UNAVAILABLE_SECONDS
         share = rate / max(1, routers)
         grant = self._own_share.grant(name, share, 1, now)
         self._purse.add(name, *grant, now)
 
     def _routers(self, now):
-        """Return the addresses of the routers that may grant permits."""
-        self._away_until = {
+        """Return the addresses of the routers that can grant permits."""
+        self._unavailable_until = {
             peer: until
-            for peer, until in self._away_until.items()
+            for peer, until in self._unavailable_until.items()
             if until > now
         }
         ready = map(address_of, self._members.ready_others())
-        others = [peer for peer in ready if peer not in self._away_until]
+        others = [
+            peer for peer in ready if peer not in self._unavailable_until
+        ]
         if others and self._members.own.state == LEAVING:
-            # No other router takes it for one that grants any more.
+            # The other routers no longer ask a leaving router for permits.
             return others
         return [self._address, *others]
 
     def grant(self, ask):
-        """Answer a PermitAsk."""
-        rate = self._named.rate(ask.upstream)
+        """Return the Permits that answer a PermitAsk."""
+        rate = self._limits.rate(ask.upstream)
         if rate is None:
             rate = max(0.0, ask.rate)
         now = self._clock.steady()
         wanted = max(0, ask.wanted)
-        count, next_at = self._book.grant(ask.upstream, rate, wanted, now)
+        count, next_at = self._permit_book.grant(
+            ask.upstream, rate, wanted, now
+        )
         return Permits(count, next_at - now)
 
     # Peers
 
     def rows(self):
-        """Return LimitRows for a peer."""
-        return self._named.some_rows(self._clock.steady())
+        """Return the next LimitRows to send to a peer."""
+        return self._limits.some_rows(self._clock.steady())
 
-    def receive(self, news):
-        """Take in LimitNews."""
-        self.merge(news.rows, news.sender)
+    def receive(self, message):
+        """Merge the LimitRows of a LimitNews message."""
+        self.merge(message.rows, message.sender)
 
     def merge(self, rows, peer):
-        """Take in LimitRows of a peer."""
+        """Merge LimitRows of a peer.
+
+        :param rows: the LimitRows
+        :param peer: peer address of their sender, for the log
+        """
         now = self._clock.steady()
         for row in rows:
-            if self._named.merge(row, now):
-                rate = self._named.rate(row.upstream)
-                self._note_change(row.upstream, rate, peer)
+            if self._limits.merge(row, now):
+                rate = self._limits.rate(row.upstream)
+                self._on_change(row.upstream, rate, peer)
--- a/rowanport/gateway/refusals.py
+++ b/rowanport/gateway/refusals.py
@@ -1,4 +1,4 @@
-"""Answers requests that are not served, and says when to come back."""
+"""Answers requests that are not served, with a time to retry."""
 
 import random
 
@@ -8,14 +8,14 @@
 from ..errors import Outcome
 from ..errors import RequestError
 
-# Times to come back in seconds where none is known better, and the spread
-# that keeps callers from coming back together: short against the seconds
-# that a caller has left.
+# Default retry time in seconds, and the random jitter that keeps callers from
+# retrying at the same time: both are short compared to the seconds until their
+# deadlines.
 RETRY_AFTER = 0.1
-RETRY_SPREAD = 0.3
-# Part of the time that a caller has left after which it is told to come back
-# at the latest, so that it still can be served then.
-RETURN_SHARE = 0.5
+RETRY_JITTER = 0.3
+# Upper bound of the retry time, as a share of the time until the caller's
+# deadline, so that the retry can still be served.
+MAX_RETRY_SHARE = 0.5
 
 
 class Refusals:
@@ -28,10 +28,15 @@
         self._clock = clock
 
     async def send(self, responder, error, headers=(), job=None):
-        """Answer with a RequestError, and when to come back.
+        """Send the answer of a RequestError, with a Retry-After header.
 
-        :param headers: more headers, as (name, value) pairs
-        :param job: the Job, whose caller has to be back in time, or None
+        The header is only sent for retryable errors of requests that did not
+        run.
+
+        :param responder: the Responder of the caller
+        :param error: the RequestError
+        :param headers: further headers, as (name, value) pairs
+        :param job: Job whose deadline bounds the retry time, or None
         """
         answer = ANSWERS[error.kind]
         headers = list(headers)
@@ -45,14 +50,18 @@
         seconds = RETRY_AFTER
         if error.come_back_at is not None:
             seconds = max(seconds, error.come_back_at - now)
-        seconds += random.uniform(0, RETRY_SPREAD)
+        seconds += random.uniform(0, RETRY_JITTER)
         if job is not None:
-            seconds = min(seconds, RETURN_SHARE * (job.caller_deadline - now))
+            seconds = min(
+                seconds, MAX_RETRY_SHARE * (job.caller_deadline - now)
+            )
         return max(0.0, seconds)
 
 
 def timeout_error(job):
-    """Return the RequestError of a job whose time is over."""
+    """Return the RequestError of a job whose deadline has passed."""
     if job.runs:
-        return RequestError(ErrorKind.DEADLINE_PASSED, "the time is over")
-    return RequestError(ErrorKind.OVERLOADED, "not started in time")
+        return RequestError(ErrorKind.DEADLINE_PASSED, "deadline exceeded")
+    return RequestError(
+        ErrorKind.OVERLOADED, "not started before the deadline"
+    )
--- a/rowanport/gateway/retry_policy.py
+++ b/rowanport/gateway/retry_policy.py
@@ -1,22 +1,25 @@
-"""Decides whether a request may be sent once more, and says why not."""
+"""Decides whether a request may be retried or hedged."""
 
 from ..errors import ErrorKind
 from ..errors import RequestError
 from ..errors import RowanportError
 from .exchange import NotExecuted
 
-# Rejections of one request after which it is refused.
-REJECTION_LIMIT = 3
-# Failed connections of one request after which it is refused.
-CONNECT_LIMIT = 6
+# Rejections by upstreams after which a request is not sent again.
+MAX_REJECTIONS = 3
+# Failed connections after which a request is not sent again.
+MAX_FAILED_CONNECTIONS = 6
 
 
 class RetryRefused(RowanportError):
-    """A request may not be sent once more; the text says why."""
+    """A request may not be hedged; the message is the reason."""
 
 
 class RetryPolicy:
-    """Whether Jobs may be sent once more.
+    """Rules for retries and hedges of Jobs.
+
+    A retry follows a failed send.  A hedge is a second run of a job while the
+    first one is unresponsive.
 
     :param gateway: the Gateway, for its parts
     """
@@ -25,53 +28,60 @@
         self._gateway = gateway
 
     def may_retry(self, job, responder):
-        """Return whether a job's route lets it run once more."""
+        """Return whether a job's route allows one more run.
+
+        :param job: the Job
+        :param responder: Responder of its caller; once it has started, only a
+            resumable stream may run again
+        """
         route = job.route
         if not route.repeatable or job.runs >= route.max_sends:
             return False
         return route.resumable or not responder.started
 
     def reserve_hedge(self, job, responder):
-        """Take what a run beside a silent one needs.
+        """Reserve the tokens for a hedge and acquire a retry.
 
-        Both together may make more than the request's most: all that the
-        silent one has not made yet is set aside a second time.
+        The two runs together may generate more than the job's maximum, so all
+        tokens that the first run may still generate are reserved again.
 
-        :returns: the tokens set aside
-        :raises RetryRefused: it is not allowed now; nothing was taken
+        :param job: the Job
+        :param responder: the Responder of its caller
+        :returns: the number of tokens reserved
+        :raises RetryRefused: not allowed now; nothing was reserved
         """
         self._check_hedge(job, responder)
         tokens = job.unmade if job.budget is not None else 0
         if tokens:
             if not self._gateway.budgets.reserve_now(job.budget, tokens):
-                raise RetryRefused("no tokens for a second run")
+                raise RetryRefused("not enough tokens for a second run")
             job.reserved += tokens
         self._acquire_retry(job)
         return tokens
 
     def _check_hedge(self, job, responder):
-        """Raise RepeatRefused unless all but tokens allows one more run."""
+        """Raise RetryRefused unless a hedge is allowed, tokens aside."""
         gateway = self._gateway
         now = gateway.clock.steady()
         if not self.may_retry(job, responder):
-            raise RetryRefused("no send is left")
+            raise RetryRefused("the route allows no further run")
         if gateway.crashes.is_suspect(job):
-            raise RetryRefused("an upstream crashed under it")
+            raise RetryRefused("an upstream crashed while running it")
         if self._is_rejected_too_often(job):
             raise RetryRefused("rejected too often")
         if gateway.views.standing.old:
-            raise RetryRefused("the list of upstreams is old")
+            raise RetryRefused("the list of upstreams is stale")
         if not gateway.stopping.may_send(job):
             raise RetryRefused("too late for a send")
         if not self.hedge_candidates(job):
             raise RetryRefused("no upstream is left")
-        if not self._window(job).allows(self._routers, now):
-            raise RetryRefused("no allowance for a repeat")
+        if not self._window(job).allows(self._router_count, now):
+            raise RetryRefused("retry limit reached")
 
     def hedge_candidates(self, job):
-        """Return the UpstreamStates that may run a job beside a silent one.
+        """Return the UpstreamStates that may run a hedge of a job.
 
-        Upstreams that name a rate limit are left to first sends.
+        Upstreams with a rate limit are reserved for first sends.
         """
         gateway = self._gateway
         now = gateway.clock.steady()
@@ -79,24 +89,26 @@
         return gateway.limits.unlimited(candidates)
 
     def release_hedge(self, job, tokens):
-        """Give back what was set aside for a run that was none."""
+        """Release the tokens reserved for a hedge that did not run."""
         if tokens:
             self._gateway.budgets.settle(job.budget, tokens, 0)
             job.reserved -= tokens
 
     def check_retry(self, job, responder, error):
-        """Raise RequestError unless a job may be sent again after a failure.
+        """Raise RequestError unless a failed job may be retried.
 
-        :param error: the UpstreamError of its last send
+        :param job: the Job
+        :param responder: the Responder of its caller
+        :param error: the UpstreamError of the last send
         """
-        if not self._may_follow(job, responder, error):
+        if not self._may_resend(job, responder, error):
             raise final_error(job, error) from None
 
-    def _may_follow(self, job, responder, error):
+    def _may_resend(self, job, responder, error):
         if self._is_rejected_too_often(job):
             return False
         if not error.started and not isinstance(error, NotExecuted):
-            # Without a connection it cost the upstreams nothing.
+            # No connection was made, so it put no load on the upstreams.
             return True
         if error.started and not self.may_retry(job, responder):
             return False
@@ -104,27 +116,32 @@
 
     def _is_rejected_too_often(self, job):
         return (
-            job.rejections >= REJECTION_LIMIT
-            or job.failed_connections >= CONNECT_LIMIT
+            job.rejections >= MAX_REJECTIONS
+            or job.failed_connections >= MAX_FAILED_CONNECTIONS
         )
 
     @property
-    def _routers(self):
+    def _router_count(self):
         return len(self._gateway.members.live())
 
     def _window(self, job):
         return self._gateway.retries(job.service)
 
     def _acquire_retry(self, job):
-        """Return whether the fleet's budget has room for one more send."""
+        """Record a retry if the window allows it; return whether it does."""
         now = self._gateway.clock.steady()
-        return self._window(job).acquire(self._routers, now)
+        return self._window(job).acquire(self._router_count, now)
 
 
 def final_error(job, error):
-    """Return the RequestError that ends a job after an UpstreamError."""
+    """Return the RequestError for a job that is not sent again.
+
+    :param error: the UpstreamError of the last send
+    """
     if job.runs:
         return RequestError(ErrorKind.UPSTREAM_FAILED, str(error))
     if isinstance(error, NotExecuted):
-        return RequestError(ErrorKind.UPSTREAM_REFUSED, "no upstream took it")
+        return RequestError(
+            ErrorKind.UPSTREAM_REFUSED, "no upstream accepted the request"
+        )
     return RequestError(ErrorKind.NO_UPSTREAM, str(error))
--- a/rowanport/gateway/retry_window.py
+++ b/rowanport/gateway/retry_window.py
@@ -1,18 +1,20 @@
-"""Bounds how often requests are sent again, over all routers together."""
+"""Limits retries in proportion to requests, over all routers together."""
 
 import collections
 
-# Part of the fleet's allowance that is used: routers see the number of
-# others late.
-CAUTION = 0.7
+# Share of the fleet's allowance that is used: routers learn the number of live
+# routers with a delay.
+SAFETY_SHARE = 0.7
 
 
 class RetryWindow:
-    """Sends past the first of each request to one service, at one router.
+    """Sliding window of requests and retries of one service at one router.
 
-    :param ratio: sends allowed for each request
-    :param slack: sends that all routers together may make beyond that
-    :param window: seconds over which both are counted
+    Every send after a request's first one is a retry.
+
+    :param ratio: retries allowed per request
+    :param slack: further retries allowed for all routers together
+    :param window: length of the window in seconds
     """
 
     def __init__(self, ratio, slack, window):
@@ -20,33 +22,39 @@
         self._slack = slack
         self._window = window
         self._requests = collections.deque()
-        self._sends = collections.deque()
+        self._retries = collections.deque()
 
     def record_request(self, now):
-        """Count a request for the service."""
+        """Record a request for the service.
+
+        :param now: monotonic time in seconds
+        """
         self._requests.append(now)
-        self._trim(self._requests, now)
+        self._expire(self._requests, now)
 
     def allows(self, routers, now):
-        """Return whether a request may be sent once more.
+        """Return whether a retry is allowed.
 
         :param routers: number of live routers, which share the slack
+        :param now: monotonic time in seconds
         """
-        self._trim(self._requests, now)
-        self._trim(self._sends, now)
+        self._expire(self._requests, now)
+        self._expire(self._retries, now)
         allowed = self._slack / routers + self._ratio * len(self._requests)
-        return len(self._sends) + 1 <= CAUTION * allowed
+        return len(self._retries) + 1 <= SAFETY_SHARE * allowed
 
     def acquire(self, routers, now):
-        """Return whether a request may be sent once more, and count it.
+        """Record a retry if one is allowed.
 
         :param routers: number of live routers, which share the slack
+        :param now: monotonic time in seconds
+        :returns: whether it is allowed
         """
         if not self.allows(routers, now):
             return False
-        self._sends.append(now)
+        self._retries.append(now)
         return True
 
-    def _trim(self, times, now):
+    def _expire(self, times, now):
         while times and times[0] < now - self._window:
             times.popleft()
--- a/rowanport/routing/__init__.py
+++ b/rowanport/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Which request goes to which service: routes, keys, limits."""
+"""Routing configuration: routes, services, organisations and limits."""
 
 from .table import Limits
 from .table import Organisation
--- a/rowanport/routing/table.py
+++ b/rowanport/routing/table.py
@@ -1,7 +1,7 @@
-"""The configuration that a gateway routes by.
+"""The routing configuration of a gateway.
 
-A table is one version, whole and never changed.  It is read from whatever
-an operator's store holds by an adapter; nothing here knows that form.
+A table is one complete, immutable version of it.  Adapters create tables from
+the operator's configuration format, which this module is independent of.
 """
 
 import enum
@@ -10,11 +10,11 @@
 
 
 class RouteKind(enum.Enum):
-    """What may be repeated on a route.
+    """Whether requests of a route may be repeated.
 
     IDEMPOTENT requests may run more than once, NON_IDEMPOTENT ones at most
-    once.  STREAM is an answer of events; it is not idempotent unless the
-    route says that it may be resumed.
+    once.  The answer to a STREAM request is an event stream; the request may
+    run more than once only if the route is resumable.
     """
 
     IDEMPOTENT = "idempotent"
@@ -23,20 +23,22 @@
 
 
 class Route:
-    """One route.
+    """A route from a host and path prefix to weighted services.
 
+    :ivar name: name of the route
     :ivar host: host name in lower case
     :ivar prefix: path prefix, with a slash at both ends
-    :ivar kind: a RouteKind
+    :ivar kind: the RouteKind
     :ivar targets: (service name, weight) pairs
-    :ivar timeout: longest time in seconds that a request is held
-    :ivar objective: seconds within which an answer counts in full
-    :ivar max_sends: most upstreams that one request may be sent to
-    :ivar priority: rank, 0 the highest
-    :ivar public: whether requests carry no key
-    :ivar resumable: whether a stream may go on at another upstream
-    :ivar gap_objective: longest pause in seconds between two events that
-        still counts as in time; 0 if none is told
+    :ivar timeout: time-out of a request in seconds
+    :ivar objective: latency objective in seconds; later answers do not count
+        in full
+    :ivar max_sends: most upstreams to which one request may be sent
+    :ivar priority: rank, 0 is the highest
+    :ivar public: whether requests need no API key
+    :ivar resumable: whether a stream may be resumed at another upstream
+    :ivar gap_objective: objective for the longest pause between two events in
+        seconds, 0 if there is none
     """
 
     __slots__ = (
@@ -84,15 +86,16 @@
 
     @property
     def repeatable(self):
-        """Return whether a request may run more than once."""
+        """Return whether requests may run more than once."""
         return self.kind is RouteKind.IDEMPOTENT or (
             self.kind is RouteKind.STREAM and self.resumable
         )
 
     def service_for(self, request_id):
-        """Return the service that a request goes to, by weight.
+        """Return the name of the service for a request, chosen by weight.
 
-        The same request id always goes to the same one.
+        The choice is a hash of the request id, so equal ids get the same
+        service.
         """
         total = sum(weight for _name, weight in self.targets)
         point = fraction(request_id) * total
@@ -104,11 +107,13 @@
 
 
 class Service:
-    """One service of upstreams.
+    """A service that is provided by a group of upstreams.
 
-    :ivar health_path: path that an upstream answers about its health
-    :ivar max_connections: connections that one upstream takes in all
-    :ivar tokens_per_event: most tokens that one event of a stream holds
+    :ivar name: name of the service
+    :ivar health_path: path of the upstreams' health check
+    :ivar max_connections: most connections that one upstream accepts in
+        total
+    :ivar tokens_per_event: most tokens in one event of a stream
     """
 
     __slots__ = ("name", "health_path", "max_connections", "tokens_per_event")
@@ -121,11 +126,12 @@
 
 
 class Organisation:
-    """One organisation.
+    """An organisation that sends requests.
 
+    :ivar name: name of the organisation
     :ivar keys: its API keys
-    :ivar prepaid: tokens it has paid for in all, None for no bound
-    :ivar priority: rank that goes before its routes', or None
+    :ivar prepaid: total number of tokens paid for, None for no limit
+    :ivar priority: rank that overrides the priority of routes, or None
     """
 
     __slots__ = ("name", "keys", "prepaid", "priority")
@@ -138,7 +144,13 @@
 
 
 class Limits:
-    """What callers may send; sizes in bytes, times in seconds."""
+    """Limits on requests of callers.
+
+    :ivar head: largest head of a request in bytes
+    :ivar body: largest body of a request in bytes
+    :ivar head_timeout: time-out in seconds for reading a head, or a body
+    :ivar idle_timeout: longest wait in seconds for the first byte of a request
+    """
 
     __slots__ = ("head", "body", "head_timeout", "idle_timeout")
 
@@ -150,7 +162,13 @@
 
 
 class RoutingTable:
-    """One version of routes, services, organisations and limits."""
+    """One version of routes, services, organisations and limits.
+
+    :ivar version: version number
+    :ivar services: Services by name
+    :ivar organisations: Organisations by name
+    :ivar limits: the Limits
+    """
 
     __slots__ = (
         "version",
@@ -178,11 +196,15 @@
 
     @property
     def requires_keys(self):
-        """Return whether requests carry a key, unless a route is public."""
+        """Return whether requests need an API key on non-public routes."""
         return bool(self.organisations)
 
     def find_route(self, host, path):
-        """Return the Route with the longest prefix of a path, or None."""
+        """Return the Route with the longest matching prefix, or None.
+
+        :param host: Host header of the request, with or without a port
+        :param path: path of the request without its query
+        """
         by_prefix = self._by_host.get(host.partition(":")[0].lower())
         if not by_prefix:
             return None
@@ -196,5 +218,5 @@
                 return route
 
     def find_organisation(self, key):
-        """Return the Organisation that holds a key, or None."""
+        """Return the Organisation that owns an API key, or None."""
         return self._by_key.get(key)
