--- a/bench/engines/fleet.py
+++ b/bench/engines/fleet.py
@@ -10,14 +10,14 @@
 from bench.engines.load import draw
 from bench.engines.load import Prompts
 from rowanport.gateway.choice import PrefixChoice
-from rowanport.gateway.followers import followers
 from rowanport.gateway.job import Job
 from rowanport.gateway.job import Tokens
 from rowanport.gateway.load_sync import LoadSync
 from rowanport.gateway.pool import UpstreamPool
 from rowanport.gateway.prefix_map import PrefixMap
+from rowanport.gateway.store_watchers import store_watchers
 from rowanport.gateway.upstream import Upstream
-from rowanport.gateway.views import ASK_INTERVAL
+from rowanport.gateway.views import POLL_INTERVAL
 from rowanport.hashing import hash_of
 from rowanport.routing import Route
 from rowanport.routing import RouteKind
@@ -149,11 +149,11 @@
 
     # What LoadSync asks of members and peers
 
-    def ready_others(self):
+    def ready_peers(self):
         """Return the incarnations of the other routers."""
         return [f"r/{n}/1" for n in range(self._fleet.size) if n != self.name]
 
-    others = ready_others
+    live_peers = ready_peers
 
     def delegates(self, kind, least, share):
         """Return the addresses of the routers that do something for all."""
@@ -172,10 +172,10 @@
         """Ask one that hears of all sends what it heard, again and again."""
         timeline = self._fleet.timeline
         if now < self._fleet.ends_at:
-            timeline.schedule(now + ASK_INTERVAL, self.ask)
+            timeline.schedule(now + POLL_INTERVAL, self.ask)
         seconds = self.notes.advance_poll_window()
         if seconds:
-            address = self._fleet.draw_one(followers(self))
+            address = self._fleet.draw_one(store_watchers(self))
             answering = self._fleet.routers[int(address)].notes
             for note in answering.recent(seconds, str(self.name)):
                 self.notes.apply(note)
@@ -229,7 +229,7 @@
         for kind in self._pattern.kinds:
             self._plan(kind, seconds)
         for router in self.routers:
-            at = self._asks_rng.uniform(0, ASK_INTERVAL)
+            at = self._asks_rng.uniform(0, POLL_INTERVAL)
             self.timeline.schedule(at, router.ask)
         for at in self._pattern.restarts:
             self.timeline.schedule(at, self._restart)
@@ -285,7 +285,7 @@
         job.tokens = Tokens(prompt, answer, self._kind.stride)
         job.affinity = ",".join(name for name, _size in parts[:-1])
         job.prefix = hash_of(job.affinity)
-        job.shared = sum(size for _name, size in parts[:-1])
+        job.shared_tokens = sum(size for _name, size in parts[:-1])
         return job
 
     def _send(self, router, candidates, request, parts, answer, now):
@@ -328,13 +328,13 @@
         if request.first is None:
             request.first = now + late - job.arrived
             state.backlog.record_first_event(ahead, request.first, now)
-        job.note_events([_EVENT], now)
+        job.record_events([_EVENT], now)
         request.pause = job.longest_pause
 
     @staticmethod
     def _end(request, state):
         request.whole = True
-        request.job.whole = True
+        request.job.complete = True
         state.outstanding -= 1
 
 
--- a/rowanport/gateway/blocklist.py
+++ b/rowanport/gateway/blocklist.py
@@ -1,9 +1,7 @@
 """Stores blocked requests, so that they survive a failure of all routers."""
 
 import asyncio
-
 import structlog
-
 from ..errors import MessageError
 from ..errors import StoreConflict
 from ..errors import StoreError
@@ -16,7 +14,7 @@
 from ..suspects import pack_blocked
 from ..suspects import unpack_blocked
 from .fingerprint import format_fingerprint
-from .followers import followers
+from .store_watchers import store_watchers
 
 LOG = structlog.get_logger(__name__)
 
@@ -101,7 +99,7 @@
         """
         if self._loaded or self._clock.steady() < self._load_at:
             return False
-        return self._address in followers(self._members)
+        return self._address in store_watchers(self._members)
 
     async def _look(self):
         if self._must_load:
@@ -127,7 +125,7 @@
 
     def _turn(self, suspect):
         """Return the position of this router in the order for a Suspect."""
-        routers = [address_of(other) for other in self._members.others()]
+        routers = [address_of(other) for other in self._members.live_peers()]
         routers.append(self._address)
         order = rendezvous(format_fingerprint(suspect.fingerprint), routers)
         return order.index(self._address)
--- a/rowanport/gateway/choice.py
+++ b/rowanport/gateway/choice.py
@@ -12,7 +12,6 @@
 
 import abc
 import math
-
 from ..hashing import rendezvous
 from ..scheduling import Overload
 
@@ -82,12 +81,12 @@
 
     def late_start(self, candidates, job, now):
         overload = self._overloads.setdefault(job.service, Overload())
-        delays = [state.delay(now) for state in candidates]
+        delays = [state.start_delay(now) for state in candidates]
         objective = job.route.objective
         return overload.late_start(delays, objective, job.priority, now)
 
     def choose(self, candidates, job, now):
-        if job.shared < MIN_SHARED_TOKENS:
+        if job.shared_tokens < MIN_SHARED_TOKENS:
             state = self._choose_short(candidates, job, now)
         else:
             state = self._choose_long(candidates, job, now)
@@ -115,7 +114,7 @@
     def uncached_tokens(self, state, job, now):
         """Return how many prompt tokens of a job an engine has to read."""
         if state.record.id in self._prefixes.engines_with(job.prefix, now):
-            return job.tokens.prompt - job.shared
+            return job.tokens.prompt - job.shared_tokens
         return job.tokens.prompt
 
     def _fewest_pauses(self, candidates, now):
@@ -154,7 +153,8 @@
         return [
             state
             for state in candidates
-            if state.wait(self.uncached_tokens(state, job, now), now) <= limit
+            if state.expected_wait(self.uncached_tokens(state, job, now), now)
+            <= limit
         ]
 
     def _earliest(self, candidates, job, now):
@@ -171,7 +171,7 @@
             uncached = self.uncached_tokens(state, job, now)
             if rank == 0:
                 uncached -= assumed
-            return int(state.wait(uncached, now) / TIE_SECONDS), rank
+            return int(state.expected_wait(uncached, now) / TIE_SECONDS), rank
 
         return by_id[order[min(range(len(order)), key=weight)]]
 
@@ -182,7 +182,7 @@
         """
         if self._prefixes.engines_with(job.prefix, now):
             return 0
-        return int(ASSUMED_CACHED_SHARE * job.shared)
+        return int(ASSUMED_CACHED_SHARE * job.shared_tokens)
 
 
 class NearestChoice(Choice):
--- a/rowanport/gateway/crash_guard.py
+++ b/rowanport/gateway/crash_guard.py
@@ -6,9 +6,7 @@
 """
 
 import asyncio
-
 import structlog
-
 from ..errors import ConnectionEnded
 from ..errors import ErrorKind
 from ..errors import RequestError
@@ -288,7 +286,7 @@
             del self._crashed[next(iter(self._crashed))]
         state = self._pool.get(name.partition("@")[0])
         if state is not None and state.record.run.name == name:
-            state.note_crash(at)
+            state.record_crash(at)
 
     def _apply_changes(self, suspects):
         """Act on changed Suspects."""
--- a/rowanport/gateway/load_sync.py
+++ b/rowanport/gateway/load_sync.py
@@ -12,13 +12,12 @@
 """
 
 import random
-
 from ..incarnation import address_of
 from ..rates import DecayingRate
 from ..schema.messages import LoadNote
-from .followers import DIRECT_FLEET
-from .followers import followers
 from .load_history import LoadHistory
+from .store_watchers import FULL_MESH_LIMIT
+from .store_watchers import store_watchers
 
 # Sends with fewer prompt tokens to read are not announced: an engine reads
 # 2,000 tokens in 50 ms, one twelfth of the shortest objective.
@@ -78,14 +77,14 @@
         """Count an announcement; return the addresses that receive it."""
         count = self._fanout(now)
         if self._is_large_fleet:
-            peers = followers(self._members)
+            peers = store_watchers(self._members)
             return random.sample(peers, min(count, len(peers)))
-        return map(address_of, self._members.ready_others()[:count])
+        return map(address_of, self._members.ready_peers()[:count])
 
     @property
     def _is_large_fleet(self):
         """Return whether most routers poll followers for announcements."""
-        return len(self._members.others()) > DIRECT_FLEET
+        return len(self._members.live_peers()) > FULL_MESH_LIMIT
 
     def _fanout(self, now):
         """Count an announcement; return how many peers receive it."""
@@ -105,7 +104,7 @@
         now = self._clock.steady()
         seconds = now - self._polled_until
         self._polled_until = now
-        if not self._is_large_fleet or self._address in followers(
+        if not self._is_large_fleet or self._address in store_watchers(
             self._members
         ):
             return 0.0
--- a/rowanport/gateway/race.py
+++ b/rowanport/gateway/race.py
@@ -1,7 +1,6 @@
 """Races hedged runs of one request; the first to make progress wins."""
 
 import asyncio
-
 from ..errors import UpstreamError
 from .relay import is_stream
 
@@ -43,7 +42,7 @@
     def _proved(self):
         """Return the latest Attempt that is proved, or None."""
         for attempt in reversed(self._attempts):
-            if attempt.proved:
+            if attempt.usable:
                 return attempt
         return None
 
@@ -55,9 +54,9 @@
         one does not win any more, even if it makes progress after all.
         """
         for attempt in reversed(self._attempts):
-            if attempt.proved:
+            if attempt.usable:
                 return attempt
-            if attempt.begun and is_stream(attempt.answer):
+            if attempt.head_received and is_stream(attempt.answer):
                 return None
         return None
 
@@ -104,17 +103,17 @@
     def _start_proofs(self):
         for attempt in self._attempts:
             if attempt not in self._proofs:
-                proof = asyncio.ensure_future(attempt.prove())
+                proof = asyncio.ensure_future(attempt.wait_until_usable())
                 self._proofs[attempt] = proof
 
     def _timeout(self):
         """Return the time-out of the wait in seconds, None for no limit."""
         if self._proved is not None:
             return MAX_OVERLAP
-        silent_at = self._attempts[-1].silent_at
-        if silent_at is None:
+        stalled_at = self._attempts[-1].stalled_at
+        if stalled_at is None:
             return None
-        return max(0.0, silent_at - self._clock.steady())
+        return max(0.0, stalled_at - self._clock.steady())
 
     def _drop_failed(self):
         """Remove the Attempts that failed, except for the last one."""
--- a/rowanport/gateway/rate_limits.py
+++ b/rowanport/gateway/rate_limits.py
@@ -1,7 +1,6 @@
 """Enforces the rate limits that upstreams name, together with the peers."""
 
 import structlog
-
 from ..errors import ErrorKind
 from ..errors import MessageError
 from ..errors import PeerError
@@ -9,11 +8,11 @@
 from ..hashing import rendezvous
 from ..incarnation import address_of
 from ..membership.members import LEAVING
-from ..ratelimits import chunk
-from ..ratelimits import NamedLimits
-from ..ratelimits import PermitBook
-from ..ratelimits import Purse
-from ..ratelimits import read_limit
+from ..ratelimits import HeldPermits
+from ..ratelimits import parse_limit
+from ..ratelimits import permit_batch_size
+from ..ratelimits import PermitGranter
+from ..ratelimits import UpstreamLimits
 from ..schema.messages import LimitNews
 from ..schema.messages import PermitAsk
 from ..schema.messages import Permits
@@ -50,10 +49,10 @@
         self._address = address
         self._clock = clock
         self._metrics = metrics
-        self._limits = NamedLimits()
-        self._permit_book = PermitBook()
-        self._own_share = PermitBook()
-        self._purse = Purse()
+        self._limits = UpstreamLimits()
+        self._permit_book = PermitGranter()
+        self._own_share = PermitGranter()
+        self._purse = HeldPermits()
         self._unavailable_until = {}
         self._unreadable = {}
 
@@ -68,11 +67,11 @@
         rate = None
         if text is not None:
             try:
-                rate = read_limit(text)
+                rate = parse_limit(text)
             except MessageError as error:
                 return self._log_unreadable(run, text, error)
         now = self._clock.steady()
-        if self._limits.note(run.name, rate, now, now):
+        if self._limits.update(run.name, rate, now, now):
             self._on_change(run.name, rate, None)
             row = self._limits.row(run.name, now)
             message = LimitNews([row], self._address)
@@ -105,7 +104,7 @@
             self._own_share,
             self._purse,
         ):
-            part.keep(names)
+            part.retain(names)
         self._unreadable = {
             name: text
             for name, text in self._unreadable.items()
@@ -146,7 +145,7 @@
     def _available_at(self, state, now):
         if self._rate(state) is None:
             return now
-        return self._purse.open_at(state.record.run.name, now)
+        return self._purse.available_at(state.record.run.name, now)
 
     async def acquire(self, state):
         """Acquire a permit to send to an upstream, unless it has no limit.
@@ -158,10 +157,10 @@
         if rate is None:
             return True
         name = state.record.run.name
-        if self._purse.take(name, self._clock.steady()):
+        if self._purse.acquire(name, self._clock.steady()):
             return True
         await self._request_permits(name, rate)
-        taken = self._purse.take(name, self._clock.steady())
+        taken = self._purse.acquire(name, self._clock.steady())
         outcome = "granted" if taken else "denied"
         self._metrics.permits.inc({"outcome": outcome})
         return taken
@@ -172,7 +171,7 @@
         """Request permits and add those granted to the purse."""
         now = self._clock.steady()
         routers = self._routers(now)
-        wanted = chunk(rate, len(routers))
+        wanted = permit_batch_size(rate, len(routers))
         granter = rendezvous(name, routers)[0]
         if granter == self._address:
             grant = self._permit_book.grant(name, rate, wanted, now)
@@ -202,11 +201,11 @@
             for peer, until in self._unavailable_until.items()
             if until > now
         }
-        ready = map(address_of, self._members.ready_others())
+        ready = map(address_of, self._members.ready_peers())
         others = [
             peer for peer in ready if peer not in self._unavailable_until
         ]
-        if others and self._members.own.state == LEAVING:
+        if others and self._members.own_entry.state == LEAVING:
             # The other routers no longer ask a leaving router for permits.
             return others
         return [self._address, *others]
@@ -227,7 +226,7 @@
 
     def rows(self):
         """Return the next LimitRows to send to a peer."""
-        return self._limits.some_rows(self._clock.steady())
+        return self._limits.next_rows(self._clock.steady())
 
     def receive(self, message):
         """Merge the LimitRows of a LimitNews message."""
--- a/rowanport/gateway/retry_policy.py
+++ b/rowanport/gateway/retry_policy.py
@@ -51,9 +51,9 @@
         :raises RetryRefused: not allowed now; nothing was reserved
         """
         self._check_hedge(job, responder)
-        tokens = job.unmade if job.budget is not None else 0
+        tokens = job.remaining_tokens if job.budget is not None else 0
         if tokens:
-            if not self._gateway.budgets.reserve_now(job.budget, tokens):
+            if not self._gateway.budgets.try_reserve(job.budget, tokens):
                 raise RetryRefused("not enough tokens for a second run")
             job.reserved += tokens
         self._acquire_retry(job)
@@ -69,7 +69,7 @@
             raise RetryRefused("an upstream crashed while running it")
         if self._is_rejected_too_often(job):
             raise RetryRefused("rejected too often")
-        if gateway.views.standing.old:
+        if gateway.views.freshness.stale:
             raise RetryRefused("the list of upstreams is stale")
         if not gateway.stopping.may_send(job):
             raise RetryRefused("too late for a send")
--- a/rowanport/gateway/sending.py
+++ b/rowanport/gateway/sender.py
@@ -29,7 +29,7 @@
 ASK_AGAIN = 0.25
 
 
-class Sending:
+class JobSender:
     """The sends of one Job.
 
     :param gateway: the Gateway, for its parts
@@ -56,9 +56,9 @@
         """
         try:
             attempt = await self._begin_admitted()
-            while not self._job.whole:
+            while not self._job.complete:
                 attempt = await self._step(attempt)
-            attempt.state.note_success()
+            attempt.state.record_success()
             run = attempt.state.record.run
             self._crashes.record_success(self._job, run)
             self._log.note_answered()
@@ -75,7 +75,7 @@
             if not await self._advances(attempt):
                 return await self._follow_silence(attempt)
             self._check(attempt)
-            await attempt.pass_on()
+            await attempt.forward()
             self._note_sign(attempt)
             return attempt
         except UpstreamError as error:
@@ -85,10 +85,10 @@
 
     async def _advances(self, attempt):
         """Wait for a sign of an upstream; return False if it stays silent."""
-        if attempt.silent_at is None:
+        if attempt.stalled_at is None:
             await attempt.advance()
             return True
-        left = max(0.0, attempt.silent_at - self._clock.steady())
+        left = max(0.0, attempt.stalled_at - self._clock.steady())
         try:
             async with asyncio.timeout(left):
                 await attempt.advance()
@@ -154,7 +154,7 @@
     def _taking(self, candidates, now):
         """Return the candidates that surely take requests now."""
         try:
-            self._gateway.views.standing.check()
+            self._gateway.views.freshness.check()
             return self._gateway.limits.with_permits(candidates, now)
         except RequestError as error:
             if self._job.runs:
@@ -212,12 +212,12 @@
         gateway, record = self._gateway, state.record
         if gateway.pool.get(record.id) is not state or record.leaving:
             raise UpstreamLeft("it left meanwhile")
-        standing = gateway.views.standing
-        if record.lapsing and not standing.hears_peers:
+        freshness = gateway.views.freshness
+        if record.lapsing and not freshness.peers_responsive:
             raise UpstreamLeft("its entry is gone, and nobody says why")
-        if standing.old:
+        if freshness.stale:
             raise UpstreamLeft("whether it left is not known any more")
-        self._job.view_age = standing.age
+        self._job.view_age = freshness.age
 
     def _note_load(self, state):
         """Count a job's prompt; return what the engine has to read with it."""
@@ -261,7 +261,7 @@
     def _note_rejection(self, state, error):
         self._job.rejections += 1
         if error.misdirected:
-            state.note_failure(self._clock.steady(), weight=2)
+            state.record_failure(self._clock.steady(), weight=2)
             self._gateway.client.forget(state.record.address)
         self._log.note_send(self._job, state, "not_executed", error)
 
@@ -270,25 +270,25 @@
         if not error.started:
             self._job.failed_connections += 1
             weight = 2
-        state.note_failure(self._clock.steady(), weight)
+        state.record_failure(self._clock.steady(), weight)
         self._log.note_send(self._job, state, "failed", error)
 
     # Silence
 
     def _note_sign(self, attempt):
         """Count an upstream's silence from now on."""
-        attempt.silence_note = None
+        attempt.stall_note = None
         silence = self._silence(attempt)
-        attempt.silent_at = None
+        attempt.stalled_at = None
         if silence is not None:
-            attempt.silent_at = self._clock.steady() + silence
+            attempt.stalled_at = self._clock.steady() + silence
 
     def _silence(self, attempt):
         """Return the longest silence in seconds, None for any."""
         job = self._job
         if not self._can_run_again:
             return None
-        if attempt.begun and is_stream(attempt.answer):
+        if attempt.head_received and is_stream(attempt.answer):
             return EVENT_SILENCE
         if job.tokens is not None:
             return FIRST_EVENT_OBJECTIVES * job.route.objective
@@ -316,10 +316,10 @@
         winner = await race.run()
         self._close_losers(race.attempts, winner)
         self._job.upstream = winner.state.record.id
-        if winner.proved:
+        if winner.usable:
             self._note_sign(winner)
         else:
-            winner.silent_at = self._clock.steady() + ASK_AGAIN
+            winner.stalled_at = self._clock.steady() + ASK_AGAIN
         return winner
 
     def _begin_beside(self, silent):
@@ -333,7 +333,7 @@
             tokens = self._repeats.reserve_hedge(job, self._responder)
         except RetryRefused as refusal:
             self._note_silence(silent, str(refusal))
-            silent.silent_at = self._clock.steady() + ASK_AGAIN
+            silent.stalled_at = self._clock.steady() + ASK_AGAIN
             return None
         state = self._choose_among(self._repeats.hedge_candidates(job))
         other = self._begin(state)
@@ -344,11 +344,11 @@
 
     def _note_silence(self, attempt, why):
         """Count a silence against its upstream; log what it leads to."""
-        if attempt.silence_note is None:
+        if attempt.stall_note is None:
             # What is new goes elsewhere for a while.
-            attempt.state.note_failure(self._clock.steady())
-        if attempt.silence_note != why:
-            attempt.silence_note = why
+            attempt.state.record_failure(self._clock.steady())
+        if attempt.stall_note != why:
+            attempt.stall_note = why
             self._log.note_send(self._job, attempt.state, "silent", why)
 
     def _close_losers(self, racers, winner):
--- a/rowanport/gateway/stream_pauses.py
+++ b/rowanport/gateway/stream_pauses.py
@@ -30,7 +30,7 @@
         if job is None:
             return
         self.paused = job.longest_pause > job.route.gap_objective
-        if self.paused or job.whole:
+        if self.paused or job.complete:
             self._job = None
 
 
--- a/soak/broken.py
+++ b/soak/broken.py
@@ -64,12 +64,12 @@
         from rowanport.errors import ErrorKind
         from rowanport.errors import RequestError
         from rowanport.gateway import retry_policy
-        from rowanport.gateway import sending
+        from rowanport.gateway import sender
 
         def final_error(job, error):
             return RequestError(ErrorKind.UPSTREAM_REFUSED, str(error))
 
-        retry_policy.final_error = sending.final_error = final_error
+        retry_policy.final_error = sender.final_error = final_error
 
 
 class RunsAgain(Variant):
@@ -112,13 +112,13 @@
     def apply(self):
         from rowanport.gateway import Gateway
 
-        take = Gateway._take_upstreams
+        apply = Gateway._apply_upstreams
 
-        def take_first(self, upstreams):
+        def apply_first(self, upstreams):
             if not self.pool.candidates("feed", set(), 0.0):
-                take(self, upstreams)
+                apply(self, upstreams)
 
-        Gateway._take_upstreams = take_first
+        Gateway._apply_upstreams = apply_first
 
 
 class TrustsOldViews(Variant):
@@ -128,9 +128,9 @@
     theme = "links"
 
     def apply(self):
-        from rowanport.gateway.standing import ViewStanding
+        from rowanport.gateway.freshness_tracker import FreshnessTracker
 
-        ViewStanding.old = False
+        FreshnessTracker.stale = False
 
 
 class StopsAtOnce(Variant):
@@ -251,7 +251,7 @@
     def apply(self):
         from rowanport.gateway import Gateway
 
-        Gateway.ready = property(lambda self: self._known)
+        Gateway.ready = property(lambda self: self._has_initial_views)
 
 
 class Drops(Variant):
--- a/test/test_choice.py
+++ b/test/test_choice.py
@@ -1,9 +1,7 @@
 """Selection of engines for prompts, and announcements of sends to peers."""
 
 import asyncio
-
 import pytest
-
 from rowanport.gateway import backlog
 from rowanport.gateway import stream_pauses
 from rowanport.gateway.backlog import Backlog
@@ -60,10 +58,10 @@
         self._others = others
         self._own = own
 
-    def ready_others(self):
+    def ready_peers(self):
         return list(self._others)
 
-    others = ready_others
+    live_peers = ready_peers
 
     def delegates(self, kind, least, share):
         names = [self._own, *map(address_of, self._others)]
@@ -125,7 +123,7 @@
     job.tokens = Tokens(shared + own, 100)
     job.affinity = prefix
     job.prefix = hash_of(prefix)
-    job.shared = shared
+    job.shared_tokens = shared
     return job
 
 
@@ -229,7 +227,7 @@
         job = make_job("label", shared=300, own=100, gap_objective=0.3)
         sends.append(router.send(job))
         job.longest_pause = pause
-        job.whole = True
+        job.complete = True
     return sends
 
 
--- a/test/test_engine_load.py
+++ b/test/test_engine_load.py
@@ -3,9 +3,7 @@
 import functools
 import statistics
 from unittest import mock
-
 import pytest
-
 from bench.engines.fleet import Fleet
 from bench.engines.load import LONG
 from bench.engines.load import PATTERNS
@@ -72,7 +70,7 @@
     # Long prompts have the higher priority here, and a shorter objective.
     outcomes = play("few")
     assert refused(outcomes, LONG) <= refused(outcomes, SHORT) + 0.05
-    without = play_without("few", Overload, "_note_rank", _forget_ranks)
+    without = play_without("few", Overload, "_record_rank", _forget_ranks)
     gap = refused(without, LONG) - refused(without, SHORT)
     assert refused(outcomes, LONG) - refused(outcomes, SHORT) < gap
 
--- a/test/test_load_digest.py
+++ b/test/test_load_digest.py
@@ -8,12 +8,10 @@
 from test.test_views import FewMembers
 from test.test_views import make_views
 from test.virtual import VirtualLoop
-
 import pytest
-
-from rowanport.gateway.followers import followers
 from rowanport.gateway.load_history import ANSWER_LIMIT
 from rowanport.gateway.load_sync import MIN_ANNOUNCED_TOKENS
+from rowanport.gateway.store_watchers import store_watchers
 from rowanport.schema.messages import LoadNote
 
 SIZE = 100
@@ -35,7 +33,7 @@
             others = [f"x/{other}/1" for other in names if other != name]
             router = FakeRouter(clock, self.peers, name, others)
             self.routers[name] = router
-        self.leading = followers(self.routers["r0"].notes._members)
+        self.leading = store_watchers(self.routers["r0"].notes._members)
         self.others = [name for name in names if name not in self.leading]
 
     def backlog(self, name, engine):
--- a/test/test_sources.py
+++ b/test/test_sources.py
@@ -26,8 +26,8 @@
 from test.virtual import LoopClock
 from test.virtual_net import HOST
 
-from rowanport.gateway.lapses import LAPSE_GRACE
-from rowanport.gateway.standing import ViewStanding
+from rowanport.gateway.expired_entries import EXPIRY_GRACE
+from rowanport.gateway.freshness_tracker import FreshnessTracker
 from rowanport.gateway.upstream import Upstream
 from rowanport.gateway.upstream import UpstreamList
 from rowanport.platform.__main__ import STORE_CONNECT_TIMEOUT
@@ -51,19 +51,19 @@
 class Alone:
     """Members of a fleet of one router."""
 
-    knows_others = False
+    knows_peers = False
 
 
 class ListViews:
     """Views of a router that follows the store and knows upstreams only."""
 
     def __init__(self, clock):
-        self.on_duty = True
-        self.young = False
+        self.watches_store = True
+        self.starting_up = False
         self.upstreams = UpstreamList()
-        self.standing = ViewStanding(Alone(), clock)
+        self.freshness = FreshnessTracker(Alone(), clock)
 
-    def take_upstreams(self, upstreams, source):
+    def apply_upstreams(self, upstreams, source):
         self.upstreams = upstreams
 
 
@@ -156,7 +156,7 @@
         await asyncio.sleep(0.02)
         dropped |= set(NAMES) - follower.known
     await follower.bring_back(*names)
-    await asyncio.sleep(LAPSE_GRACE)
+    await asyncio.sleep(EXPIRY_GRACE)
     assert follower.known == set(NAMES)
     return dropped
 
@@ -203,7 +203,7 @@
     await asyncio.sleep(1.5)
     assert follower.known == set(NAMES)
     await follower.bring_back("two")
-    await asyncio.sleep(LAPSE_GRACE)
+    await asyncio.sleep(EXPIRY_GRACE)
     assert follower.known == set(NAMES)
 
 
@@ -216,7 +216,7 @@
     await asyncio.sleep(SHORTEST_LAPSE)
     await follower.drop("two")
     follower.standin.fault = ""
-    await asyncio.sleep(LAPSE_GRACE + 1.0)
+    await asyncio.sleep(EXPIRY_GRACE + 1.0)
     assert follower.known == set(NAMES) - {"two"}
 
 
@@ -286,7 +286,7 @@
 async def test_a_router_that_does_not_follow_the_store_probes_nothing(
     follower,
 ):
-    follower.views.on_duty = False
+    follower.views.watches_store = False
     # The watch that is open ends first.
     await asyncio.sleep(30.0)
     follower.standin.calls.clear()
@@ -308,5 +308,5 @@
     assert listed["two"].lapsing
     listed["two"] = Upstream(*listed["two"].fields()[:-1])
     follower.views.upstreams = UpstreamList(10**6, listed.values())
-    await asyncio.sleep(LAPSE_GRACE + 0.5)
+    await asyncio.sleep(EXPIRY_GRACE + 0.5)
     assert follower.known == set(NAMES)
