--- a/rowanport/gateway/blocklist.py
+++ b/rowanport/gateway/blocklist.py
@@ -1,7 +1,9 @@
 """Stores blocked requests, so that they survive a failure of all routers."""
 
 import asyncio
+
 import structlog
+
 from ..errors import MessageError
 from ..errors import StoreConflict
 from ..errors import StoreError
--- a/rowanport/gateway/choice.py
+++ b/rowanport/gateway/choice.py
@@ -12,6 +12,7 @@
 
 import abc
 import math
+
 from ..hashing import rendezvous
 from ..scheduling import Overload
 
--- a/rowanport/gateway/crash_guard.py
+++ b/rowanport/gateway/crash_guard.py
@@ -6,7 +6,9 @@
 """
 
 import asyncio
+
 import structlog
+
 from ..errors import ConnectionEnded
 from ..errors import ErrorKind
 from ..errors import RequestError
--- a/rowanport/gateway/load_sync.py
+++ b/rowanport/gateway/load_sync.py
@@ -12,6 +12,7 @@
 """
 
 import random
+
 from ..incarnation import address_of
 from ..rates import DecayingRate
 from ..schema.messages import LoadNote
--- a/rowanport/gateway/race.py
+++ b/rowanport/gateway/race.py
@@ -1,6 +1,7 @@
 """Races hedged runs of one request; the first to make progress wins."""
 
 import asyncio
+
 from ..errors import UpstreamError
 from .relay import is_stream
 
--- a/rowanport/gateway/rate_limits.py
+++ b/rowanport/gateway/rate_limits.py
@@ -1,6 +1,7 @@
 """Enforces the rate limits that upstreams name, together with the peers."""
 
 import structlog
+
 from ..errors import ErrorKind
 from ..errors import MessageError
 from ..errors import PeerError
--- a/test/test_choice.py
+++ b/test/test_choice.py
@@ -1,7 +1,9 @@
 """Selection of engines for prompts, and announcements of sends to peers."""
 
 import asyncio
+
 import pytest
+
 from rowanport.gateway import backlog
 from rowanport.gateway import stream_pauses
 from rowanport.gateway.backlog import Backlog
--- a/test/test_engine_load.py
+++ b/test/test_engine_load.py
@@ -3,7 +3,9 @@
 import functools
 import statistics
 from unittest import mock
+
 import pytest
+
 from bench.engines.fleet import Fleet
 from bench.engines.load import LONG
 from bench.engines.load import PATTERNS
--- a/test/test_load_digest.py
+++ b/test/test_load_digest.py
@@ -8,7 +8,9 @@
 from test.test_views import FewMembers
 from test.test_views import make_views
 from test.virtual import VirtualLoop
+
 import pytest
+
 from rowanport.gateway.load_history import ANSWER_LIMIT
 from rowanport.gateway.load_sync import MIN_ANNOUNCED_TOKENS
 from rowanport.gateway.store_watchers import store_watchers
