--- a/rowanport/gateway/crash_guard.py
+++ b/rowanport/gateway/crash_guard.py
@@ -42,7 +42,7 @@
     :param pool: the UpstreamPool
     :param client: the HttpClient of the upstreams
     :param peers: a PeerClient
-    :param listeners: function that returns the addresses of the peers to
+    :param recipients: function that returns the addresses of the peers to
         which changes are sent at once
     :param address: this router's peer address
     :param clock: a Clock
@@ -57,7 +57,7 @@
     """
 
     def __init__(
-        self, pool, client, peers, listeners, address, clock, metrics
+        self, pool, client, peers, recipients, address, clock, metrics
     ):
         self._pool = pool
         self._client = client
@@ -72,7 +72,7 @@
         self._tasks = TaskSet()
         self.table = SuspectTable(address)
         self.sync = SuspectSync(
-            self.table, self._runs, peers, listeners, address, clock
+            self.table, self._runs, peers, recipients, address, clock
         )
         self.sync.on_changes = self._on_peer_changes
         self.sync.on_runs = self._notify_waiters
@@ -192,7 +192,8 @@
     def _crash_count(self, fingerprint):
         """Return the number of crashes that a request may have caused.
 
-        That includes runs that closed the connection and may have crashed.
+        Upstream runs that closed the connection, and so may have crashed, are
+        included.
         """
         known = self.table.crash_count(fingerprint)
         return known + len(self._sends.runs_that_ended(fingerprint))
--- a/rowanport/gateway/load_sync.py
+++ b/rowanport/gateway/load_sync.py
@@ -7,8 +7,8 @@
 worse choice of engine.
 
 LoadNotes are only sent on open connections.  In a large fleet a router has few
-of these, so it sends to the routers that follow the store; the others receive
-the LoadNotes in the answers when they poll these for changes.
+of these, so it sends to the routers that watch the store (store_watchers); the
+others receive the LoadNotes when they poll the watchers for changes.
 """
 
 import random
@@ -69,12 +69,12 @@
         now = self._clock.steady()
         if unread >= MIN_ANNOUNCED_TOKENS:
             note = LoadNote(state.record.id, prefix, unread, self._address)
-            self._peers.tell(self._listeners(now), note)
+            self._peers.tell(self._recipients(now), note)
             self._history.add(note)
         self._prefixes.record(prefix, state.record.id, now)
         return state.backlog.add(unread, now)
 
-    def _listeners(self, now):
+    def _recipients(self, now):
         """Count an announcement; return the addresses that receive it."""
         count = self._fanout(now)
         if self._is_large_fleet:
@@ -84,7 +84,7 @@
 
     @property
     def _is_large_fleet(self):
-        """Return whether most routers poll followers for announcements."""
+        """Return whether most routers poll store watchers for sends."""
         return len(self._members.live_peers()) > FULL_MESH_LIMIT
 
     def _fanout(self, now):
--- a/rowanport/gateway/race.py
+++ b/rowanport/gateway/race.py
@@ -13,7 +13,7 @@
 class Race:
     """Waits for the first of several Attempts to make progress.
 
-    An Attempt makes progress once it is ``proved``.
+    An Attempt makes progress once it is ``usable``.
 
     :param first: the unresponsive Attempt
     :param second: its hedge
@@ -31,8 +31,8 @@
         self._clock = clock
         self._ask = ask
         self._drop = drop
-        # Tasks that wait until an Attempt is proved, by Attempt.
-        self._proofs = {}
+        # Tasks that wait until an Attempt is usable, by Attempt.
+        self._waits = {}
 
     @property
     def attempts(self):
@@ -40,8 +40,8 @@
         return list(self._attempts)
 
     @property
-    def _proved(self):
-        """Return the latest Attempt that is proved, or None."""
+    def _usable(self):
+        """Return the latest Attempt that is usable, or None."""
         for attempt in reversed(self._attempts):
             if attempt.usable:
                 return attempt
@@ -71,23 +71,21 @@
             while len(self._attempts) > 1:
                 progressed = await self._wait_for_progress()
                 self._drop_failed()
-                winner = self._winner if progressed else self._proved
+                winner = self._winner if progressed else self._usable
                 if winner is not None:
                     return winner
         finally:
-            await _cancel(self._proofs.values())
+            await _cancel(self._waits.values())
         return self._attempts[0]
 
     async def _wait_for_progress(self):
-        """Wait until an Attempt is proved or fails; return whether one did.
+        """Wait until an Attempt is usable or fails; return whether one did.
 
         If all Attempts are unresponsive for too long, a further hedge is
         started.
         """
-        self._start_proofs()
-        pending = [
-            proof for proof in self._proofs.values() if not proof.done()
-        ]
+        self._start_waits()
+        pending = [wait for wait in self._waits.values() if not wait.done()]
         done, _ = await asyncio.wait(
             pending,
             timeout=self._timeout(),
@@ -95,21 +93,21 @@
         )
         if done:
             return True
-        if self._proved is None:
+        if self._usable is None:
             hedge = self._ask(self._attempts[-1])
             if hedge is not None:
                 self._attempts.append(hedge)
         return False
 
-    def _start_proofs(self):
+    def _start_waits(self):
         for attempt in self._attempts:
-            if attempt not in self._proofs:
-                proof = asyncio.ensure_future(attempt.wait_until_usable())
-                self._proofs[attempt] = proof
+            if attempt not in self._waits:
+                wait = asyncio.ensure_future(attempt.wait_until_usable())
+                self._waits[attempt] = wait
 
     def _timeout(self):
         """Return the time-out of the wait in seconds, None for no limit."""
-        if self._proved is not None:
+        if self._usable is not None:
             return MAX_OVERLAP
         stalled_at = self._attempts[-1].stalled_at
         if stalled_at is None:
@@ -126,11 +124,11 @@
 
     def _error_of(self, attempt):
         """Return the UpstreamError of an Attempt, None if it has none."""
-        proof = self._proofs.get(attempt)
-        if proof is None or not proof.done():
+        wait = self._waits.get(attempt)
+        if wait is None or not wait.done():
             return None
         try:
-            proof.result()
+            wait.result()
             attempt.check(self._responder)
         except UpstreamError as error:
             return error
--- a/rowanport/gateway/rate_limits.py
+++ b/rowanport/gateway/rate_limits.py
@@ -36,24 +36,24 @@
 
     :param peers: a PeerClient
     :param members: the Membership
-    :param listeners: function that returns the addresses of the peers to
+    :param recipients: function that returns the addresses of the peers to
         which changes are sent at once
     :param address: this router's peer address
     :param clock: a Clock
     :param metrics: the GatewayMetrics
     """
 
-    def __init__(self, peers, members, listeners, address, clock, metrics):
+    def __init__(self, peers, members, recipients, address, clock, metrics):
         self._peers = peers
         self._members = members
-        self._listeners = listeners
+        self._recipients = recipients
         self._address = address
         self._clock = clock
         self._metrics = metrics
         self._limits = UpstreamLimits()
-        self._permit_book = PermitGranter()
+        self._permit_granter = PermitGranter()
         self._own_share = PermitGranter()
-        self._purse = HeldPermits()
+        self._held_permits = HeldPermits()
         self._unavailable_until = {}
         self._unreadable = {}
 
@@ -76,7 +76,7 @@
             self._on_change(run.name, rate, None)
             row = self._limits.row(run.name, now)
             message = LimitNews([row], self._address)
-            self._peers.tell(self._listeners(), message)
+            self._peers.tell(self._recipients(), message)
 
     def _log_unreadable(self, run, text, error):
         """Log a limit that cannot be parsed, unless it repeats the last."""
@@ -101,9 +101,9 @@
         """
         for part in (
             self._limits,
-            self._permit_book,
+            self._permit_granter,
             self._own_share,
-            self._purse,
+            self._held_permits,
         ):
             part.retain(names)
         self._unreadable = {
@@ -146,7 +146,7 @@
     def _available_at(self, state, now):
         if self._rate(state) is None:
             return now
-        return self._purse.available_at(state.record.run.name, now)
+        return self._held_permits.available_at(state.record.run.name, now)
 
     async def acquire(self, state):
         """Acquire a permit to send to an upstream, unless it has no limit.
@@ -158,10 +158,10 @@
         if rate is None:
             return True
         name = state.record.run.name
-        if self._purse.acquire(name, self._clock.steady()):
+        if self._held_permits.acquire(name, self._clock.steady()):
             return True
         await self._request_permits(name, rate)
-        taken = self._purse.acquire(name, self._clock.steady())
+        taken = self._held_permits.acquire(name, self._clock.steady())
         outcome = "granted" if taken else "denied"
         self._metrics.permits.inc({"outcome": outcome})
         return taken
@@ -169,14 +169,14 @@
     # Permits
 
     async def _request_permits(self, name, rate):
-        """Request permits and add those granted to the purse."""
+        """Request permits; the granted ones are added to those held."""
         now = self._clock.steady()
         routers = self._routers(now)
         wanted = permit_batch_size(rate, len(routers))
         granter = rendezvous(name, routers)[0]
         if granter == self._address:
-            grant = self._permit_book.grant(name, rate, wanted, now)
-            return self._purse.add(name, *grant, now)
+            grant = self._permit_granter.grant(name, rate, wanted, now)
+            return self._held_permits.add(name, *grant, now)
         ask = PermitAsk(name, rate, wanted)
         try:
             answer = await self._peers.call(granter, ask, PERMIT_TIMEOUT)
@@ -185,7 +185,7 @@
             return self._grant_share(name, rate, granter, len(routers))
         now = self._clock.steady()
         next_at = now + max(0.0, answer.wait)
-        self._purse.add(name, answer.count, next_at, now)
+        self._held_permits.add(name, answer.count, next_at, now)
 
     def _grant_share(self, name, rate, granter, routers):
         """Grant from this router's share while the granter is unavailable."""
@@ -193,7 +193,7 @@
         self._unavailable_until[granter] = now + UNAVAILABLE_SECONDS
         share = rate / max(1, routers)
         grant = self._own_share.grant(name, share, 1, now)
-        self._purse.add(name, *grant, now)
+        self._held_permits.add(name, *grant, now)
 
     def _routers(self, now):
         """Return the addresses of the routers that can grant permits."""
@@ -203,13 +203,13 @@
             if until > now
         }
         ready = map(address_of, self._members.ready_peers())
-        others = [
+        other_routers = [
             peer for peer in ready if peer not in self._unavailable_until
         ]
-        if others and self._members.own_entry.state == LEAVING:
+        if other_routers and self._members.own_entry.state == LEAVING:
             # The other routers no longer ask a leaving router for permits.
-            return others
-        return [self._address, *others]
+            return other_routers
+        return [self._address, *other_routers]
 
     def grant(self, ask):
         """Return the Permits that answer a PermitAsk."""
@@ -218,7 +218,7 @@
             rate = max(0.0, ask.rate)
         now = self._clock.steady()
         wanted = max(0, ask.wanted)
-        count, next_at = self._permit_book.grant(
+        count, next_at = self._permit_granter.grant(
             ask.upstream, rate, wanted, now
         )
         return Permits(count, next_at - now)
--- a/rowanport/gateway/suspect_sync.py
+++ b/rowanport/gateway/suspect_sync.py
@@ -28,7 +28,7 @@
     :param table: the SuspectTable
     :param runs: the SuspectRuns
     :param peers: a PeerClient
-    :param listeners: function that returns the addresses of the peers to
+    :param recipients: function that returns the addresses of the peers to
         which changes are sent at once
     :param address: this router's peer address
     :param clock: a Clock
@@ -36,11 +36,11 @@
     :ivar on_runs: callback when a peer reports the start or end of a run
     """
 
-    def __init__(self, table, runs, peers, listeners, address, clock):
+    def __init__(self, table, runs, peers, recipients, address, clock):
         self._table = table
         self._runs = runs
         self._peers = peers
-        self._listeners = listeners
+        self._recipients = recipients
         self._address = address
         self._clock = clock
         self._differs_until = 0.0
@@ -56,7 +56,7 @@
         now = self._clock.steady()
         rows = [self._table.row(suspect, now) for suspect in suspects]
         message = SuspectNews(self._table.digest, rows)
-        self._peers.tell(self._listeners(), message)
+        self._peers.tell(self._recipients(), message)
 
     def announce_run(self, send):
         """Record the run of a suspect, and send it to peers.
@@ -68,14 +68,14 @@
         seconds = max(0.0, min(MAX_RUN_SECONDS, job.deadline - now))
         self._runs.add(job.fingerprint, run, self._address, now + seconds)
         message = SuspectRun(job.fingerprint, run, self._address, seconds)
-        self._peers.tell(self._listeners(), message)
+        self._peers.tell(self._recipients(), message)
 
     def announce_ends(self, sends):
         """Remove the runs of some InFlightSends, and notify peers."""
         for send in sends:
             key = send.job.fingerprint, send.run.name, self._address
             if self._runs.remove(*key):
-                self._peers.tell(self._listeners(), SuspectRun(*key, 0.0))
+                self._peers.tell(self._recipients(), SuspectRun(*key, 0.0))
 
     def receive_run(self, message):
         """Apply a SuspectRun message."""
--- a/rowanport/suspects/table.py
+++ b/rowanport/suspects/table.py
@@ -270,15 +270,15 @@
             for crash in row.crashes
             if crash.age < KEEP_SECONDS
         }
-        news = suspect.add_crashes(crashes)
+        changed = suspect.add_crashes(crashes)
         cleared = {run for run in row.cleared if run in suspect.crashes}
         if not cleared <= suspect.cleared:
             suspect.cleared |= cleared
-            news = True
+            changed = True
         if row.stored and not suspect.stored and suspect.crashes:
             suspect.stored = True
-            news = True
-        if not news:
+            changed = True
+        if not changed:
             return None
         suspect.source = row.source
         self._update(suspect, now)
--- a/test/test_choice.py
+++ b/test/test_choice.py
@@ -47,11 +47,11 @@
 
     def __init__(self):
         self.routers = {}
-        self.told = []
+        self.announced = []
 
     def tell(self, addresses, note):
         for address in addresses:
-            self.told.append(note)
+            self.announced.append(note)
             self.routers[address].notes.receive(note)
 
 
@@ -307,12 +307,14 @@
 # Announcements to peers
 
 
-def most_sends_to_one(clock, count, told):
+def most_sends_to_one(clock, count, announced):
     """Send two prompts per router at once; return the most per engine."""
     peers = FakePeers()
     names = [f"r{number}" for number in range(count)]
     routers = [
-        FakeRouter(clock, peers, f"x/{name}/1", _others(names, name, told))
+        FakeRouter(
+            clock, peers, f"x/{name}/1", _others(names, name, announced)
+        )
         for name in names
     ]
     peers.routers = {name: r for name, r in zip(names, routers)}
@@ -320,15 +322,15 @@
     return max(sends.count(name) for name in ENGINES)
 
 
-def _others(names, own, told):
-    return [f"x/{name}/1" for name in names if told and name != own]
+def _others(names, own, announced):
+    return [f"x/{name}/1" for name in names if announced and name != own]
 
 
 def test_announcements_keep_routers_from_choosing_one_engine(clock):
     # When each router knew only its own sends, eight concurrent prompts went
     # to one engine, and the first events of all of them were late.
-    assert most_sends_to_one(clock, 6, told=True) == 3
-    assert most_sends_to_one(clock, 6, told=False) > 3
+    assert most_sends_to_one(clock, 6, announced=True) == 3
+    assert most_sends_to_one(clock, 6, announced=False) > 3
 
 
 def test_short_prompts_are_not_announced(clock):
@@ -336,9 +338,9 @@
     peers.routers["r2"] = FakeRouter(clock, peers, "other")
     router = FakeRouter(clock, peers, "one", ["x/r2/1"])
     router.send(make_job(shared=0, own=MIN_ANNOUNCED_TOKENS - 1))
-    assert not peers.told
+    assert not peers.announced
     router.send(make_job(shared=0, own=MIN_ANNOUNCED_TOKENS))
-    assert [note.tokens for note in peers.told] == [MIN_ANNOUNCED_TOKENS]
+    assert [note.tokens for note in peers.announced] == [MIN_ANNOUNCED_TOKENS]
 
 
 def test_a_busy_router_announces_to_a_sample_of_peers(clock):
@@ -351,9 +353,11 @@
     for _number in range(100):
         clock.now += 0.1
         router.send(make_job(shared=0, own=MIN_ANNOUNCED_TOKENS))
-    told = len(peers.told) / (100 * 0.1)
+    announced = len(peers.announced) / (100 * 0.1)
     assert (
-        0.8 * ANNOUNCEMENTS_PER_SECOND < told < 1.6 * ANNOUNCEMENTS_PER_SECOND
+        0.8 * ANNOUNCEMENTS_PER_SECOND
+        < announced
+        < 1.6 * ANNOUNCEMENTS_PER_SECOND
     )
 
 
@@ -365,10 +369,10 @@
 
 
 def test_messages_that_need_no_answer_get_none():
-    heard = []
+    received = []
 
     async def handle(message):
-        heard.append(message)
+        received.append(message)
         return Ack()
 
     async def run():
@@ -386,5 +390,5 @@
         await server.close()
 
     asyncio.run(run())
-    notes = [one for one in heard if isinstance(one, LoadNote)]
+    notes = [one for one in received if isinstance(one, LoadNote)]
     assert [(n.upstream, n.prefix, n.tokens) for n in notes] == [("e1", 2, 3)]
--- a/test/test_load_digest.py
+++ b/test/test_load_digest.py
@@ -35,8 +35,8 @@
             others = [f"x/{other}/1" for other in names if other != name]
             router = FakeRouter(clock, self.peers, name, others)
             self.routers[name] = router
-        self.leading = store_watchers(self.routers["r0"].notes._members)
-        self.others = [name for name in names if name not in self.leading]
+        self.watchers = store_watchers(self.routers["r0"].notes._members)
+        self.others = [name for name in names if name not in self.watchers]
 
     def backlog(self, name, engine):
         pool = self.routers[name].pool
@@ -54,8 +54,8 @@
     sender, asker = fleet.others[:2]
     engine = send(fleet.routers[sender])
     assert fleet.backlog(asker, engine) == 0
-    follower = fleet.routers[fleet.leading[0]]
-    for note in follower.notes.recent(0.25, asker):
+    watcher = fleet.routers[fleet.watchers[0]]
+    for note in watcher.notes.recent(0.25, asker):
         fleet.routers[asker].notes.apply(note)
     assert fleet.backlog(asker, engine) == MIN_ANNOUNCED_TOKENS
 
@@ -64,39 +64,39 @@
     fleet = LargeFleet(clock)
     sender, asker = fleet.others[:2]
     send(fleet.routers[sender])
-    follower = fleet.routers[fleet.leading[0]]
-    assert not follower.notes.recent(0.25, sender)
+    watcher = fleet.routers[fleet.watchers[0]]
+    assert not watcher.notes.recent(0.25, sender)
     asks = fleet.routers[asker].notes
     clock.now += 0.25
     assert 0 < asks.advance_poll_window() <= 0.25
     clock.now += 0.25
-    assert not follower.notes.recent(asks.advance_poll_window(), asker)
+    assert not watcher.notes.recent(asks.advance_poll_window(), asker)
 
 
 def test_routers_with_direct_announcements_do_not_poll(clock):
     fleet = LargeFleet(clock)
     small = FakeRouter(clock, fleet.peers, "alone", ["x/r1/1"])
     clock.now += 0.25
-    assert fleet.routers[fleet.leading[0]].notes.advance_poll_window() == 0
+    assert fleet.routers[fleet.watchers[0]].notes.advance_poll_window() == 0
     assert small.notes.advance_poll_window() == 0
 
 
 def test_an_answer_is_limited_to_the_largest_prompts(clock):
     fleet = LargeFleet(clock)
-    follower = fleet.routers[fleet.leading[0]].notes
+    watcher = fleet.routers[fleet.watchers[0]].notes
     for number in range(5 * ANSWER_LIMIT):
-        follower.receive(
+        watcher.receive(
             LoadNote("e1", number, MIN_ANNOUNCED_TOKENS + number, "r")
         )
-    notes = follower.recent(0.25, "asker")
+    notes = watcher.recent(0.25, "asker")
     assert len(notes) == ANSWER_LIMIT
     assert (
         min(note.tokens for note in notes)
         >= MIN_ANNOUNCED_TOKENS + 4 * ANSWER_LIMIT
     )
     clock.now += 5.0
-    follower.receive(LoadNote("e1", 1, MIN_ANNOUNCED_TOKENS, "r"))
-    assert len(follower.recent(10.0, "asker")) == 1
+    watcher.receive(LoadNote("e1", 1, MIN_ANNOUNCED_TOKENS, "r"))
+    assert len(watcher.recent(10.0, "asker")) == 1
 
 
 class Answerer:
@@ -120,7 +120,7 @@
     fleet = LargeFleet(clock)
     sender, asker = fleet.others[:2]
     answering = make_views(loop, FewMembers(), None)
-    answering.loads = fleet.routers[fleet.leading[0]].notes
+    answering.loads = fleet.routers[fleet.watchers[0]].notes
     asking = make_views(loop, FewMembers(), Answerer(answering))
     asking.loads = fleet.routers[asker].notes
     clock.now += 0.1
