--- a/rowanport/ledger/__init__.py
+++ b/rowanport/ledger/__init__.py
@@ -1,8 +1,13 @@
-"""Prepaid budgets: grants from a sharded ledger.
+"""Prepaid budgets: token grants from a sharded ledger in the store.
 
-The classes of this package decide; they neither wait nor send.  Messages
-and time go in, messages and batches come out.  :class:`LedgerKeeper` is the
-asyncio shell that connects them to a store and to peers.
+The router that accepts a request, its entry router, reserves tokens at the
+home router of the budget's shard.  There a :class:`Holder` reserves them
+from the grant that it has drawn from the shard.  If both are the same
+router, another one, the witness, keeps a copy of the reservation.
+
+:class:`Holder` and the functions on records do no I/O: messages and the
+time go in, answers and batches come out.  :class:`LedgerKeeper` connects
+holders to the store and to peers with asyncio.
 """
 
 from .book import ReservationBook
--- a/rowanport/ledger/record.py
+++ b/rowanport/ledger/record.py
@@ -1,8 +1,9 @@
-"""The ledger shard as stored, and how a batch changes it.
+"""The stored record of a ledger shard, and how a batch changes it.
 
-For each budget ``settled + absorbed + all open grants <= total`` holds
-before and after each change.  A batch carries all that one holder did in an
-interval; its number makes a repeat harmless.
+For each budget, ``settled + absorbed + sum of all grants <= total`` holds
+before and after every change.  A batch carries all changes of one holder
+since its previous batch.  Batches are numbered per holder, so that applying
+one again has no effect.
 """
 
 from ..errors import RowanportError
@@ -12,19 +13,19 @@
 from ..schema.messages import ShardRecord
 
 EXPELLED_MEMORY = 7 * 86400.0
-# The expiry of a settlement that must appear on no bill.
+# Expiry of a settlement that is debited but never billed.
 NO_BILL = -1.0
 
 
 class Expelled(RowanportError):
-    """The holder was recovered by others: its grants are gone."""
+    """Another router has recovered the holder's grants."""
 
 
 class MemoryLimits:
-    """How long bills are remembered.
+    """How long bills are kept to detect duplicates.
 
-    :ivar limit: seconds after which one is forgotten even though some
-        holder has not written since
+    :ivar limit: seconds after which an expired bill is removed even though
+        some holder has not written since it expired
     """
 
     __slots__ = ("limit",)
@@ -34,11 +35,11 @@
 
 
 class Draw:
-    """A wish for tokens, sized when the batch meets the shard.
+    """A request for tokens, sized when the batch is applied to the shard.
 
-    :ivar need: tokens that waiting reservations lack
-    :ivar available: tokens the holder could reserve
-    :ivar demand: tokens a second
+    :ivar need: tokens that waiting reservations still need
+    :ivar available: tokens that the holder can reserve
+    :ivar demand: demand for the budget at the holder, in tokens per second
     """
 
     __slots__ = ("need", "available", "demand")
@@ -50,20 +51,23 @@
 
 
 class Batch:
-    """All that one holder did to a shard since its batch before.
+    """All changes of one holder to a shard since its previous batch.
 
     :ivar holder: holder id
-    :ivar number: 1 for its first batch, and so on
-    :ivar at: when it was made
-    :ivar entries: incarnations that may reserve from its grants
+    :ivar number: sequence number at this holder, from 1
+    :ivar at: wall time at which it was made
+    :ivar entries: incarnations of the routers that may reserve from the
+        holder's grants
     :ivar draws: Draw by budget
-    :ivar returns: tokens by budget
+    :ivar returns: tokens given back, by budget
     :ivar bills: BillEntry list
     :ivar transfers: TransferRecord list, tokens lent to this holder
-    :ivar closed: ids of transfers that this holder lent and saw applied
-    :ivar wants: budgets by which it marks or clears (time 0) its need
+    :ivar closed: ids of transfers that this holder lent and that it found in
+        the shard, which may now be removed there
+    :ivar wants: by budget, the wall time until which the holder is marked as
+        short of tokens; 0 clears the mark
     :ivar recoveries: Recovery list
-    :ivar leaving: whether the holder gives up all and goes
+    :ivar leaving: whether the holder is removed from the shard
     """
 
     __slots__ = (
@@ -105,27 +109,27 @@
 
 
 def unspent_tokens(budget):
-    """Return the tokens of a budget that are not spent, granted or not."""
+    """Return the unspent tokens of a budget, including granted ones."""
     return budget.total - budget.settled - budget.absorbed
 
 
 def free_tokens(budget):
-    """Return the tokens of a budget that are in no grant and not spent."""
+    """Return the unspent tokens of a budget that are not granted."""
     return unspent_tokens(budget) - sum(budget.grants.values())
 
 
 def live_holders(record):
-    """Return the ids of the holders that were not recovered."""
+    """Return the ids of the holders that have not been recovered."""
     return record.holders.keys() - record.expelled.keys()
 
 
 def absorbed_key(request, run):
-    """Return the key under which an unbilled run is remembered."""
+    """Return the key in ``bills`` of a run that was debited, not billed."""
     return f"{request}/{run}"
 
 
 def find_bill(record, request, run):
-    """Return the record of a run that was already accounted for."""
+    """Return the BillRecord of a run, None if it was not debited yet."""
     bill = record.bills.get(request)
     if bill is not None and bill.run == run:
         return bill
@@ -133,7 +137,7 @@
 
 
 def is_applied(record, batch):
-    """Return whether the shard already holds the batch.
+    """Return whether the batch has already been applied to the shard.
 
     :raises Expelled: the holder was recovered
     """
@@ -151,13 +155,13 @@
 
 
 def apply_batch(record, batch, sizing, limits):
-    """Apply a batch to the shard in place, once.
+    """Apply a batch to the shard record in place, unless it already was.
 
     :param record: the ShardRecord, as read from the store
     :param sizing: the Sizing of draws
     :param limits: the MemoryLimits
-    :returns: whether anything was applied
-    :raises Expelled: the holder was recovered by others
+    :returns: False if the batch had been applied before
+    :raises Expelled: the holder was recovered by another router
     """
     if is_applied(record, batch):
         return False
@@ -186,12 +190,13 @@
 
 
 def apply_bill(record, entry, at):
-    """Account for what one run consumed, once.
+    """Debit the tokens that a run consumed, once per run.
 
-    The first run of a request is billed.  Another run of it, or one whose
-    request may have been forgotten, is taken from the budget but appears on
-    no bill: tokens served never exceed the total, and nobody pays twice.
-    One without tokens says that a reservation's run never began.
+    The first run of a request is billed.  Another run of the same request,
+    or a run whose request may already have been pruned, is debited from the
+    budget without a bill: tokens served never exceed the total, and no
+    request is billed twice.  An entry of 0 tokens says that the
+    reservation's run never began.
     """
     if find_bill(record, entry.request, entry.run) is not None:
         return
@@ -220,9 +225,9 @@
 
 
 def _presumes_billed_run(record, entry):
-    """Return whether a presumed run is the very one that was billed.
+    """Return whether a presumption is about a reservation already billed.
 
-    A witness that missed a reservation's end presumes it spent.
+    A witness that missed the end of a reservation may presume it spent.
     """
     bill = record.bills.get(entry.request)
     if bill is None or entry.expiry != NO_BILL:
@@ -231,16 +236,18 @@
 
 
 def is_presumed(record, request, reservation):
-    """Return whether a reservation stands there as presumed spent."""
+    """Return whether the shard has a reservation as presumed spent."""
     return absorbed_key(request, reservation) in record.bills
 
 
 def _withdraw_presumption(record, budget, entry):
-    """Take back that a reservation was presumed spent; return its tokens.
+    """Undo the presumption that a reservation was spent.
 
-    Its entry lives after all and says what it consumed.  Without this a
-    router that was cut off, or paused, cost the customer the worst case of
-    each run that had not begun.
+    The entry router turned out to be alive and reports what was consumed.
+    Otherwise a router that was cut off or paused would cost the customer the
+    full reservation of each run that had not begun.
+
+    :returns: the tokens presumed spent, 0 if there was no presumption
     """
     key = absorbed_key(entry.request, entry.reservation)
     presumed = record.bills.pop(key, None)
@@ -251,11 +258,11 @@
 
 
 def _debit(budget, holder, tokens):
-    """Take tokens from a grant, below nothing if need be.
+    """Subtract tokens from a grant, which may become negative.
 
-    A holder may have spent or lent what it borrowed before the loan stands
-    in the shard.  The loan makes up for it then; until it does, the lender's
-    grant still has the tokens, so the sum of all grants stays true.
+    A holder may spend or lend borrowed tokens before the loan is written to
+    the shard.  Until it is written, the tokens are still in the lender's
+    grant, so a negative grant keeps the sum of all grants correct.
     """
     left = budget.grants.get(holder, 0) - tokens
     if left:
@@ -274,19 +281,21 @@
 
 
 def _apply_recovery(record, recovery, at):
-    """Trim a dead holder's grants to what is still owed of them.
+    """Reduce a dead holder's grants to what open reservations still owe.
 
-    While anything is, it stays listed: it is recovered again, to give back
-    what its runs did not use.
+    While anything is owed the holder stays in the record, to be recovered
+    again later: that frees the tokens which its runs did not use.
     """
     holder = record.holders.get(recovery.holder)
     if holder is None or holder.batch != recovery.batch:
         return
-    # A holder that joined since has attested nothing: it may have borrowed.
+    # A holder that was added after the attestation was not asked and may
+    # have borrowed from the dead holder.
     if not set(record.holders) <= {*recovery.attested, recovery.holder}:
         return
-    # More owed than granted means that it spent borrowed tokens which are
-    # still in the lender's grant: nothing can be told apart until then.
+    # More owed than granted means that the dead holder spent borrowed tokens
+    # that are still in the lender's grant.  Its grants cannot be reduced
+    # until the loan is written.
     if not _covers(record, recovery):
         return
     for name, budget in record.budgets.items():
@@ -301,7 +310,7 @@
 
 
 def _covers(record, recovery):
-    """Return whether a dead holder's grants cover all it still owes."""
+    """Return whether a dead holder's grants cover what is still owed."""
     return all(
         kept <= record.budgets[name].grants.get(recovery.holder, 0)
         for name, kept in recovery.kept.items()
@@ -333,7 +342,12 @@
 
 
 def _prune(record, at, limits):
-    """Forget bills that no holder can still bring a second time."""
+    """Remove expired bills that no holder can submit again.
+
+    A bill may be submitted again by a holder that has not synced since it
+    expired.  Recovered holders are removed once their expiry has passed and
+    nothing is owed of their grants.
+    """
     oldest = min(
         (holder.synced_at for holder in record.holders.values()), default=at
     )
@@ -347,7 +361,7 @@
             del record.expelled[holder]
 
 
-# Operators' changes
+# Changes by operators
 
 
 def add_budget(record, name, total):
