--- a/rowanport/ledger/account.py
+++ b/rowanport/ledger/account.py
@@ -1,4 +1,4 @@
-"""One budget at one holder: what it was granted, reserved and lent."""
+"""One budget at one holder: granted, reserved, lent and borrowed tokens."""
 
 import collections
 
@@ -8,15 +8,17 @@
 
 
 class Reservation:
-    """Tokens set aside for one run.
+    """Tokens reserved for one run.
 
-    :ivar upstream: where it runs, empty until that is known
-    :ivar since: wall time at which it was set aside
-    :ivar started_at: wall time at which its upstream was named, or None
+    :ivar entry: incarnation of the router that attests it: its entry router,
+        or the witness if that is the home router itself
+    :ivar upstream: address the run is sent to, empty until that is known
+    :ivar since: wall time at which it was made
+    :ivar started_at: wall time at which its upstream was recorded, or None
     :ivar orphaned_at: wall time at which its router was first found dead;
         None while it seems alive
-    :ivar gone_at: wall time at which the process of its router was known to
-        have ended, or None
+    :ivar router_ended_at: wall time at which the process of its router was
+        known to have ended, or None
     """
 
     __slots__ = (
@@ -48,20 +50,26 @@
 
     @property
     def router(self):
-        """Return the incarnation of the router that has it run."""
+        """Return the incarnation of the router that sends the run."""
         return self.entry
 
 
 class Account:
-    """One budget at one holder; all figures in tokens.
+    """One budget at one holder; all amounts in tokens.
 
-    :ivar granted: as it stands in the shard after the last known batch
-    :ivar borrowed: Lent by transfer id, not yet in the shard
-    :ivar lent: transfers given away, not yet seen in the shard
+    :ivar granted: grant in the shard after the last confirmed batch
+    :ivar borrowed: Lent message by transfer id, of loans not yet written to
+        the shard
+    :ivar lent: Loan by transfer id, of loans not yet seen in the shard
     :ivar reserved: Reservation by id
-    :ivar unwritten: settled, not yet in the shard
-    :ivar returning: on the way back to the shard
-    :ivar waiting: Reserve messages that lack tokens
+    :ivar unwritten: settled, but the bill is not yet written
+    :ivar returning: given back by the batch in flight
+    :ivar waiting: Reserve message by reservation id, of those not answered
+    :ivar demand: DecayingRate of tokens that were asked for
+    :ivar exhausted_until: wall time until which reservations that cannot be
+        met are refused at once
+    :ivar pending_ask: id of the LendAsk that is not answered yet, or None
+    :ivar asked_lenders: holders already asked for a loan
     """
 
     __slots__ = (
@@ -95,7 +103,7 @@
 
     @property
     def available(self):
-        """Return the tokens that can be reserved now."""
+        """Return the tokens that can be reserved now; may be negative."""
         have = self.granted + sum(m.tokens for m in self.borrowed.values())
         reserved = sum(r.tokens for r in self.reserved.values())
         lent = sum(m.tokens for m in self.lent.values())
@@ -103,15 +111,15 @@
 
     @property
     def shortfall(self):
-        """Return the tokens that waiting reservations lack."""
+        """Return the tokens that waiting reservations still need."""
         wanted = sum(message.tokens for message in self.waiting.values())
         return max(0, wanted - max(0, self.available)) if wanted else 0
 
 
 class Loan:
-    """Tokens given to a borrower.
+    """Tokens lent to another holder.
 
-    :ivar until: until when a repeated ask gets the same answer
+    :ivar until: wall time until which a repeated ask gets the same answer
     """
 
     __slots__ = ("tokens", "borrower", "answer", "until")
--- a/rowanport/ledger/holder.py
+++ b/rowanport/ledger/holder.py
@@ -1,9 +1,9 @@
-"""One router's side of one ledger shard: grants, reservations, loans.
+"""Grants, reservations and loans of one ledger shard at one router.
 
-A holder hands out only tokens of grants that it knows to stand in the
-shard under its own id.  Neither membership nor clocks nor leases are needed
-for that to be safe: a holder that froze, was cut off or believes in an old
-view still spends nothing but its own.
+A holder reserves only tokens of grants that it knows to be written to the
+shard under its own id.  This is safe without membership, clocks or leases:
+a holder that was paused, is cut off or has an outdated view of the fleet
+can still spend only its own grants.
 """
 
 import collections
@@ -27,15 +27,18 @@
 from .record import NO_BILL
 from .record import unspent_tokens
 
+# Seconds for which a budget stays marked as exhausted.
 EXHAUSTED_SECONDS = 0.5
+# Seconds for which a release is kept, to refuse a late Reserve message.
 RELEASE_MEMORY = 3600.0
 
 
 class LateRelease:
-    """A reservation that was given back late: it may have been presumed.
+    """A late release of a reservation that may have been presumed spent.
 
-    :ivar message: the Settle message, without tokens
-    :ivar until: until when that is looked for in the shard
+    :ivar message: the Settle message, with 0 tokens
+    :ivar until: wall time until which the shard is checked for the
+        presumption
     """
 
     __slots__ = ("message", "until")
@@ -46,12 +49,12 @@
 
 
 class Holder:
-    """Decides for one shard at one router.
+    """Reserves, lends and settles tokens of one shard at one router.
 
-    :param holder: holder id, an incarnation made at start
+    :param holder: holder id, new at each start
     :param shard: shard number
     :param sizing: a Sizing
-    :param new_id: function that returns fresh ids
+    :param new_id: function that returns unique ids
     """
 
     def __init__(self, holder, shard, sizing, new_id):
@@ -62,15 +65,15 @@
         self._fenced = set()
         self._entries = set()
         self._answers = []
-        # Kept when others recover this holder: an entry that lives may give
-        # back what was presumed of the holder's old id.
+        # Kept when other routers recover this holder: a live entry router may
+        # release a reservation of the old holder id that was presumed spent.
         self._released = {}
         self._late_releases = {}
         self._leaving = False
         self._reset(holder)
 
     def _reset(self, holder):
-        """Start under a holder id that the shard does not know yet."""
+        """Start again under a holder id that is not in the shard yet."""
         self.holder = holder
         self.record = None
         self.listed = frozenset()
@@ -86,12 +89,12 @@
 
     @property
     def waiting(self):
-        """Return whether a reservation waits for tokens."""
+        """Return whether any reservation waits for an answer."""
         return any(account.waiting for account in self._accounts.values())
 
     @property
     def idle(self):
-        """Return whether nothing is open here."""
+        """Return whether no reservation, loan or bill is open here."""
         return not self._bills and not any(
             account.reserved or account.waiting or account.borrowed
             for account in self._accounts.values()
@@ -99,23 +102,23 @@
 
     @property
     def left(self):
-        """Return whether all was given back at a planned stop."""
+        """Return whether a planned stop has given back all grants."""
         if self._leaving and self.record is None:
             return not self._bills and not self.waiting
         return self._left
 
     @property
     def leaving(self):
-        """Return whether it gives all back."""
+        """Return whether the holder is giving back all its grants."""
         return self._leaving
 
     @property
     def in_flight(self):
-        """Return the batch whose fate is not known, if any."""
+        """Return the batch whose write is not known to have succeeded."""
         return self._batch
 
     def account(self, name):
-        """Return the account of a budget, made if need be."""
+        """Return the account of a budget; create it if there is none."""
         account = self._accounts.get(name)
         if account is None:
             account = self._accounts[name] = Account(name)
@@ -134,22 +137,22 @@
         ]
 
     def holds(self, reservation):
-        """Return whether a Reservation is still open here."""
+        """Return whether this very Reservation is still open here."""
         reserved = self.account(reservation.budget).reserved
         return reserved.get(reservation.reservation) is reservation
 
     def unsettled(self):
-        """Return the ids of reservations whose bills are yet to be written."""
+        """Return the ids of reservations whose bills are not written yet."""
         open_here = {one.reservation for one in self.reservations()}
         return open_here | self._bills.reservations()
 
     # Entries
 
     def set_entries(self, entries):
-        """Say which entries may reserve here, by incarnation.
+        """Set the entry routers that may reserve here, by incarnation.
 
-        One with open reservations stays listed, so that a recovery after
-        this holder's death asks it.
+        One with open reservations stays listed, so that it is asked to
+        attest when this holder's grants are recovered.
         """
         kept = {reservation.entry for reservation in self.reservations()}
         kept.update(self._bills.entries())
@@ -159,7 +162,7 @@
             self._write_due = True
 
     def rename_entry(self, reservation, budget, entry):
-        """Note who remembers a reservation from now on, and list it."""
+        """Set the router that attests a reservation from now on; list it."""
         reserved = self.account(budget).reserved.get(reservation)
         if reserved is not None:
             reserved.entry = entry
@@ -169,10 +172,11 @@
     # Reservations
 
     def reserve(self, message, now):
-        """Set tokens aside.
+        """Reserve tokens for a run.
 
-        :returns: Reserved, Refused, or None if it waits for tokens; the
-            answer then comes from :meth:`take_answers`
+        :param message: the Reserve message
+        :returns: Reserved, Refused, or None if the reservation has to wait;
+            :meth:`take_answers` then returns the answer
         """
         account = self.account(message.budget)
         known = account.reserved.get(message.reservation)
@@ -181,7 +185,7 @@
         if message.reservation in self._released:
             return _refused(ErrorKind.BUDGET_UNAVAILABLE, "voided")
         if self._leaving:
-            return _refused(ErrorKind.STOPPING, "the home is stopping")
+            return _refused(ErrorKind.STOPPING, "the home router is stopping")
         if message.reservation not in account.waiting:
             account.demand.add(message.tokens, now)
         if self.record is not None and message.budget not in (
@@ -208,32 +212,39 @@
     def _refuse_exhausted(self, account, message):
         budget = self.record and self.record.budgets.get(account.name)
         if budget is None:
-            return _refused(ErrorKind.BUDGET_UNAVAILABLE, "ledger not read")
+            return _refused(
+                ErrorKind.BUDGET_UNAVAILABLE, "ledger not read yet"
+            )
         left = unspent_tokens(budget)
         if left < message.tokens:
             text = f"{message.tokens} tokens needed, {left} left"
             return _refused(ErrorKind.BUDGET_EXHAUSTED, text)
-        text = f"{message.tokens} tokens needed, none to be had now"
+        text = f"{message.tokens} tokens needed, none available now"
         return _refused(ErrorKind.BUDGET_EXHAUSTED, text)
 
     def started(self, message, now):
-        """Note where a reserved run goes, before it is sent there.
+        """Record the upstream of a run before the run is sent to it.
 
-        :returns: Refused if the reservation was given back meanwhile
+        :param message: the Started message
+        :returns: Ack, or Refused if the reservation is no longer open
         """
         account = self.account(message.budget)
         reservation = account.reserved.get(message.reservation)
         if reservation is None:
-            return _refused(ErrorKind.BUDGET_UNAVAILABLE, "not reserved")
+            return _refused(
+                ErrorKind.BUDGET_UNAVAILABLE, "reservation is not open"
+            )
         reservation.upstream = message.upstream
         reservation.started_at = now
         return Ack()
 
     def settle(self, message, now):
-        """Close a reservation, of this holder or of a dead one.
+        """Close a reservation of this holder or of a dead one.
 
-        :returns: Ack if nothing needs to be written, else None: the caller
-            may forget it once :meth:`take_written` names the reservation
+        :param message: the Settle message
+        :returns: Ack if nothing has to be written; Refused if the sender has
+            to try again; None if the bill is queued, in which case the sender
+            must keep it until :meth:`take_written` returns the reservation
         """
         account = self.account(message.budget)
         own = message.holder == self.holder
@@ -254,14 +265,15 @@
         return None
 
     def _record_release(self, message, reservation, now):
-        """Note that a reservation was given back.
+        """Record that a reservation was released.
 
         :param reservation: the Reservation, None if it is not open here
         """
         until = now + RELEASE_MEMORY
         self._released[message.reservation] = until
-        # An overload gives back hundreds a second, within moments: only those
-        # that others may have presumed spent are looked up in each record.
+        # An overload releases hundreds of reservations per second soon after
+        # they are made.  Only those old enough to have been presumed spent are
+        # looked up in each record that is read.
         if reservation is None or (
             now >= reservation.since + PRESUME_UNKNOWN_AFTER
         ):
@@ -271,12 +283,12 @@
     def _settle_repeated(self, message):
         """Return the answer to a Settle whose reservation has a bill here.
 
-        What was presumed has to be written before the entry's own word can
-        take its place.
+        A presumption has to be written first; only then can the bill of the
+        entry router replace it.
         """
         presumed = self._bills.is_presumed(message.reservation)
         if presumed and message.expiry != NO_BILL:
-            return _refused(ErrorKind.NOT_READY, "presumed, not written yet")
+            return _refused(ErrorKind.NOT_READY, "presumption not written yet")
         return None
 
     def _is_written(self, bill):
@@ -285,7 +297,7 @@
         return find_bill(self.record, bill.request, bill.run) is not None
 
     def pump(self, now):
-        """Answer waiting reservations that can be answered now."""
+        """Answer the waiting reservations that can be answered now."""
         for account in self._accounts.values():
             for key, message in list(account.waiting.items()):
                 answer = self._answer_waiting(account, message, now)
@@ -295,7 +307,7 @@
                 self._answers.append((message, answer))
 
     def forget(self, now):
-        """Drop what is remembered only against late repeats."""
+        """Drop expired records that are kept to answer repeated messages."""
         for key, until in list(self._released.items()):
             if until < now:
                 del self._released[key]
@@ -306,7 +318,7 @@
 
     def _answer_waiting(self, account, message, now):
         if self._leaving:
-            return _refused(ErrorKind.STOPPING, "the home is stopping")
+            return _refused(ErrorKind.STOPPING, "the home router is stopping")
         if self.record is not None:
             if message.budget not in self.record.budgets:
                 return _refused(ErrorKind.UNKNOWN_BUDGET, "no such budget")
@@ -314,27 +326,30 @@
         if listed and account.available >= message.tokens:
             return self._add_reservation(account, message, now)
         if now >= message.waits_until:
-            return _refused(ErrorKind.BUDGET_UNAVAILABLE, "no tokens in time")
+            return _refused(
+                ErrorKind.BUDGET_UNAVAILABLE, "no tokens free in time"
+            )
         if listed and now < account.exhausted_until:
             return self._refuse_exhausted(account, message)
         return None
 
     def take_answers(self):
-        """Return (Reserve, answer) pairs of reservations that waited."""
+        """Return new (Reserve, answer) pairs of reservations that waited."""
         answers = self._answers
         self._answers = []
         return answers
 
     def take_written(self):
-        """Return ids of reservations whose bills stand in the shard."""
+        """Return ids of reservations whose bills were newly written."""
         return self._bills.pop_written()
 
     # Loans
 
     def asks(self, now):
-        """Return (holder, LendAsk) pairs to send to other holders now.
+        """Return the (holder, LendAsk) pairs to send to other holders now.
 
-        They go out when reservations wait and the shard has nothing free.
+        Loans are requested for budgets whose waiting reservations exceed what
+        is available here, one lender at a time.
         """
         if self.record is None or self._leaving:
             return []
@@ -357,22 +372,21 @@
             account, self.record, self.holder, self._fenced
         )
         if ask is None:
-            # Nobody is left to ask: only the shard can help.
+            # No lender is left to ask: draw from the shard instead.
             self._write_due = True
         return ask
 
     def ask_refused(self, message):
-        """Note that a lender gave nothing, or cannot be reached.
+        """Record that a lender refused a loan or did not answer.
 
-        Tokens that it lent all the same are still taken in when its answer
-        comes late.
+        If it did lend, :meth:`borrow` still accepts a late answer.
         """
         account = self.account(message.budget)
         if account.pending_ask == message.ask:
             account.pending_ask = None
 
     def lend(self, message, now):
-        """Lend tokens to another holder, once for each ask."""
+        """Lend tokens to another holder; answer a repeated ask the same."""
         known = self._loans.previous_answer(message.ask)
         if known is not None:
             return known
@@ -385,7 +399,7 @@
         return self._loans.lend(account, message, self.holder, now)
 
     def borrow(self, message, now):
-        """Take in lent tokens, once for each transfer."""
+        """Accept lent tokens, once for each transfer."""
         account = self.account(message.budget)
         if message.lender in self._fenced:
             return
@@ -396,7 +410,10 @@
     # Dead holders
 
     def attest(self, holder):
-        """Return what is borrowed from a holder; shun it from now on."""
+        """Return what is owed of a dead holder's grants, by budget.
+
+        The holder is fenced: no loan of it is accepted from now on.
+        """
         self._fenced.add(holder)
         outstanding = collections.Counter()
         for account in self._accounts.values():
@@ -407,15 +424,16 @@
         return outstanding
 
     def recover(self, recovery):
-        """Take back a dead holder's grants with the next batch."""
+        """Add the recovery of a dead holder's grants to the next batch."""
         self._recoveries.append(recovery)
 
     # Batches
 
     def make_batch(self, now):
-        """Return the batch to write next, or None if nothing is due.
+        """Return the batch to write next, or None if there is none.
 
-        A batch whose fate is unknown is returned again, unchanged.
+        The batch in flight is returned again, unchanged, until it is known
+        whether it was written.
         """
         if self._batch is not None:
             return self._batch
@@ -444,7 +462,7 @@
         return batch
 
     def _never_registered(self, batch):
-        """Return whether there is neither a grant nor anything to write."""
+        """Return whether the holder is not in the shard and need not be."""
         known = self.holder in self.record.holders
         return not (known or batch.bills or batch.transfers or batch.closed)
 
@@ -481,7 +499,10 @@
                 )
 
     def batch_applied(self, record, now):
-        """Take in the shard as it stands with the batch in flight."""
+        """Handle the confirmed write of the batch in flight.
+
+        :param record: the ShardRecord with the batch applied
+        """
         batch = self._batch
         self._batch = None
         for name, tokens in batch.returns.items():
@@ -504,11 +525,11 @@
             self.account(bill.budget).unwritten -= bill.tokens
 
     def _finish_sync(self, batch, record, now):
-        """Call a budget dry when neither shard nor lenders had enough."""
+        """Mark budgets exhausted that neither shard nor lenders could fill."""
         for name in batch.draws:
             account = self.account(name)
             if not account.shortfall:
-                # The draw was enough, or nobody waits any more.
+                # The draw was enough, or no reservation waits any more.
                 account.asked_lenders.clear()
                 continue
             budget = record.budgets[name]
@@ -528,7 +549,10 @@
         )
 
     def store_failed(self, now):
-        """Note that the shard cannot be written at present."""
+        """Mark budgets exhausted whose shard cannot be written now.
+
+        Only those are marked for which all lenders have been asked.
+        """
         if self.record is None:
             return
         for account in self._accounts.values():
@@ -541,10 +565,10 @@
         self.pump(now)
 
     def observe(self, record, now):
-        """Take in a newer reading of the shard.
+        """Update the accounts from a newer record of the shard.
 
-        :param record: the ShardRecord; never one read before the last
-            batch of this holder was known to be applied
+        :param record: the ShardRecord; must not be older than the last
+            confirmed batch of this holder
         """
         self.record = record
         own = record.holders.get(self.holder)
@@ -559,14 +583,17 @@
         self.pump(now)
 
     def _drop_billed(self, account, record):
-        """Drop reservations that were billed through another home."""
+        """Drop reservations that were billed through another home router."""
         for key, reservation in list(account.reserved.items()):
             bill = record.bills.get(reservation.request)
             if bill is not None and bill.reservation == key:
                 del account.reserved[key]
 
     def _withdraw_presumed(self, record):
-        """Bill nothing for what was given back, but presumed spent."""
+        """Undo presumptions about reservations that were released late.
+
+        A bill of 0 tokens undoes the presumption in the shard.
+        """
         for late in self._late_releases.values():
             message = late.message
             if message.reservation in self._bills:
@@ -574,17 +601,17 @@
             if is_presumed(record, message.request, message.reservation):
                 self._bills.add(make_bill(message), None)
 
-    # Ends
+    # Stop
 
     def leave(self):
-        """Begin a planned stop: reserve nothing new, give all back."""
+        """Begin a planned stop: refuse reservations, give back all grants."""
         self._leaving = True
         self._write_due = True
 
     def stay(self):
-        """Take back a :meth:`leave`; return whether that is possible.
+        """Cancel a :meth:`leave`; return whether that was possible.
 
-        It is not once a batch that gives all back may have been written.
+        It is not once the batch that leaves the shard may have been written.
         """
         if self._left or (self._batch is not None and self._batch.leaving):
             return False
@@ -592,10 +619,12 @@
         return True
 
     def expel(self, holder):
-        """Start anew under another id after a recovery by others.
+        """Start again under a new id after a recovery by another router.
+
+        The shard keeps the tokens of open reservations under the old id;
+        they are settled like those of a dead holder.
 
-        Reservations of the old id were kept aside in the shard; their
-        settlements go there as those of a dead holder.
+        :param holder: the new holder id
         """
         waiting = [
             message
@@ -606,7 +635,9 @@
         self._reset(holder)
         self._write_due = True
         for message in waiting:
-            answer = _refused(ErrorKind.NOT_READY, "its home was recovered")
+            answer = _refused(
+                ErrorKind.NOT_READY, "grants of the home were recovered"
+            )
             self._answers.append((message, answer))
 
 
