--- a/rowanport/ledger/loans.py
+++ b/rowanport/ledger/loans.py
@@ -1,7 +1,8 @@
-"""Tokens that holders lend each other when the shard has nothing free.
+"""Loans of tokens between holders, used when the shard has too few.
 
-A loan is debited at the lender before its answer goes out and credited at the
-borrower once; it reaches the shard as a transfer in the borrower's batch.
+A loan is debited at the lender before the answer is sent, and credited once
+at the borrower.  The borrower's next batch writes it to the shard as a
+transfer.
 """
 
 from ..errors import ErrorKind
@@ -12,14 +13,14 @@
 from .account import Loan
 from .record import live_holders
 
-# Seconds for which a repeated ask gets the same answer.
+# Seconds for which a repeated LendAsk gets the same answer.
 LOAN_MEMORY = 3600.0
 
 
 class Loans:
-    """What one holder lent and borrowed.
+    """Loans that one holder gave and received.
 
-    :param new_id: function that returns fresh ids
+    :param new_id: function that returns unique ids
     """
 
     def __init__(self, new_id):
@@ -33,9 +34,9 @@
     def next_ask(self, account, record, holder, fenced):
         """Return the next (lender, LendAsk) for an account, or None.
 
-        :param record: the ShardRecord as last read, with its budget
+        :param record: the ShardRecord as last read; it has the budget
         :param holder: id of the holder that asks
-        :param shunned: ids of dead holders
+        :param fenced: ids of dead holders, which are not asked
         """
         budget = record.budgets[account.name]
         for lender in _lenders(budget, holder):
@@ -55,7 +56,7 @@
         return None
 
     def borrow(self, account, message):
-        """Take in a Lent message, once; return whether it was new."""
+        """Accept a Lent message once; return whether it was new."""
         if message.ask not in self._asks:
             return False
         self._asks.discard(message.ask)
@@ -66,7 +67,7 @@
     # Lending
 
     def previous_answer(self, ask):
-        """Return the answer that an ask got before, or None."""
+        """Return the answer given to an ask before, or None."""
         loan = self._loans.get(ask)
         return loan.answer if loan is not None else None
 
@@ -75,12 +76,13 @@
 
         :param holder: id of the lending holder
         """
-        # Only what stands in the shard: borrowed tokens are not lent on.
+        # Borrowed tokens are not in this holder's grant in the shard yet, so
+        # they are not lent again.
         borrowed = sum(lent.tokens for lent in account.borrowed.values())
         spare = account.available - borrowed
         if account.waiting or spare <= 0:
             return Refused(ErrorKind.BUDGET_EXHAUSTED.value, "nothing to lend")
-        # Half of what is left, or all that was asked if that is less.
+        # Lend what was asked, or half of what is spare if that is more.
         tokens = min(spare, max(message.tokens, spare // 2))
         answer = Lent(message.ask, message.budget, tokens, holder)
         loan = Loan(tokens, message.borrower, answer, now + LOAN_MEMORY)
@@ -89,7 +91,7 @@
         return answer
 
     def forget(self, accounts, now):
-        """Drop answers that are too old to be asked for again.
+        """Drop answers to asks that are too old to be repeated.
 
         :param accounts: Account by budget
         """
@@ -103,15 +105,19 @@
 
     @property
     def closed(self):
-        """Return ids of transfers lent here and seen in the shard."""
+        """Return ids of transfers lent here that were seen in the shard."""
         return sorted(self._closed)
 
     def forget_closed(self, closed):
-        """Drop closed transfers that a batch has taken out of the shard."""
+        """Drop closed transfers that a batch has removed from the shard."""
         self._closed.difference_update(closed)
 
     def observe(self, account, record):
-        """Close an account's loans that a reading of the shard settles."""
+        """Drop an account's loans that the shard shows to be resolved.
+
+        A loan is resolved once its transfer is in the shard, or once its
+        borrower was recovered.
+        """
         for transfer, loan in list(account.lent.items()):
             if transfer in record.transfers:
                 self._closed.add(transfer)
@@ -121,7 +127,7 @@
 
 
 def transfers(accounts):
-    """Return the TransferRecords of all that accounts borrowed."""
+    """Return TransferRecords of all loans that the accounts received."""
     return [
         TransferRecord(lent.ask, account.name, lent.tokens, lent.lender)
         for account in accounts
@@ -130,7 +136,7 @@
 
 
 def _lenders(budget, holder):
-    """Return the other holders of a budget, the richest first."""
+    """Return the other holders of a budget, largest grant first."""
     names = (
         name
         for name, tokens in budget.grants.items()
--- a/rowanport/ledger/rebalancer.py
+++ b/rowanport/ledger/rebalancer.py
@@ -1,14 +1,15 @@
-"""What a holder draws from its shard, marks as wanted and gives back."""
+"""Decides what a holder draws from its shard and what it gives back."""
 
 from .record import Draw
 from .record import free_tokens
 from .record import unspent_tokens
 
+# Seconds for which a budget stays marked as short of tokens at a holder.
 WANT_SECONDS = 10.0
 
 
 class Rebalancer:
-    """Fills the draws, wants and returns of batches.
+    """Fills in the draws, wants and returns of batches.
 
     :param sizing: a Sizing
     """
@@ -17,7 +18,10 @@
         self._sizing = sizing
 
     def fill_draw(self, batch, account, budget, now):
-        """Draw tokens of a budget, or mark it as wanted, if need be.
+        """Draw tokens of a budget if they are needed.
+
+        If the shard has too few, the budget is marked as wanted, so that
+        other holders give tokens back.
 
         :param budget: the BudgetRecord of the account
         """
@@ -38,7 +42,7 @@
             batch.wants[name] = 0.0
 
     def fill_return(self, batch, account, budget, leaving, now):
-        """Give back what is not needed here.
+        """Give back the tokens that are not needed here.
 
         :param leaving: whether the holder gives back all that it can
         """
@@ -48,8 +52,8 @@
             tokens = max(0, account.available)
         else:
             tokens = self._excess(batch.holder, account, budget, now)
-        # Only what stands in the shard can be returned; borrowed tokens
-        # reach it with this very batch.
+        # Only tokens granted in the shard can be returned.  That includes
+        # borrowed ones: this batch writes their transfers, applied first.
         if tokens > 0:
             batch.returns[account.name] = tokens
             batch.draws.pop(account.name, None)
--- a/rowanport/ledger/sizing.py
+++ b/rowanport/ledger/sizing.py
@@ -1,12 +1,12 @@
-"""How large a grant a holder should have."""
+"""Sizes of grants, draws and returns."""
 
 
 class Sizing:
-    """The rules of grant sizes.
+    """Parameters and rules for the size of a grant.
 
     :ivar horizon: seconds of demand that a grant should cover
-    :ivar least: smallest draw in tokens while enough is free
-    :ivar share: share of the unspent tokens to hold while plenty is free
+    :ivar least: smallest grant to aim for, in tokens
+    :ivar share: share of the unspent tokens to aim for
     """
 
     __slots__ = ("horizon", "least", "share")
@@ -19,12 +19,13 @@
     def target(self, free, unspent, demand):
         """Return the grant to aim for, in tokens.
 
-        Wide while plenty is free, so that a long cut refuses nobody; never
-        more than half of what is free, so that others find some too.
+        It is large while many tokens are free, so that requests are served
+        through a long loss of the store, but at most half of what is free,
+        to leave some to other holders.
 
-        :param free: tokens of the budget in no grant
-        :param unspent: tokens of the budget not yet spent, granted or not
-        :param demand: tokens a second asked of this holder
+        :param free: unspent tokens of the budget that are not granted
+        :param unspent: unspent tokens of the budget, including granted ones
+        :param demand: demand at this holder, in tokens per second
         """
         wanted = max(unspent * self.share, demand * self.horizon, self.least)
         return min(int(wanted), free // 2)
@@ -32,8 +33,8 @@
     def draw(self, free, unspent, need, available, demand):
         """Return how many tokens to draw.
 
-        :param need: tokens that waiting reservations lack
-        :param available: tokens that the holder could reserve now
+        :param need: tokens that waiting reservations still need
+        :param available: tokens that the holder can reserve now
         """
         target = self.target(free, unspent, demand)
         if need <= 0 and available * 2 >= target:
@@ -48,8 +49,8 @@
         if available <= 0:
             return 0
         if wanted:
-            # Half at most while there is demand here too, so that two
-            # holders in need do not empty each other in turn.
+            # While there is demand here too, return only half, so that two
+            # holders short of tokens do not drain each other in turn.
             return available // 2 if demand > 0 else available
         wide = max(unspent * self.share, demand * self.horizon)
         keep = 4 * int(max(wide, self.least))
