--- a/rowanport/ledger/orphans.py
+++ b/rowanport/ledger/orphans.py
@@ -1,4 +1,4 @@
-"""Reservations whose entry died, and what their runs are settled with."""
+"""Settles reservations whose entry router died."""
 
 import structlog
 
@@ -10,28 +10,30 @@
 from .record import NO_BILL
 
 LOG = structlog.get_logger(__name__)
-# Seconds for which a router has to seem dead before what it had not started is
-# given back: one that was merely slow to answer keeps its place.
+# Seconds for which a router has to seem dead before its reservations without a
+# started run are released.  A router that was just slow keeps them.
 RELEASE_AFTER = 1.0
-# Seconds for which the last bytes of an ended process may be under way.
+# Seconds after the end of a process within which bytes that it sent may still
+# arrive.
 LAST_BYTES_DELAY = 1.0
-# Seconds from the start of a run within which its engine cannot have been
-# restarted and forgotten it: to load a model takes longer.
+# Seconds after the start of a run within which its engine cannot have been
+# restarted and so have lost its list of runs: loading a model takes longer.
 MIN_ENGINE_RESTART = 8.0
-# Seconds after its deadline at which a run is presumed spent whose upstream
-# does not answer.
+# Seconds after its deadline at which a run is presumed to have spent all
+# reserved tokens if its upstream does not answer.
 PRESUME_AFTER = 5.0
-# Seconds after which a run is presumed spent that its upstream does not know,
-# while its router may still be alive and send it.  A paused router is mostly
-# back by then; if it comes later, its word takes back what was presumed.
+# Seconds after which a run that its upstream does not know is presumed spent,
+# as its router may still be alive and send it.  A paused router has mostly
+# resumed by then; if it resumes later, its report undoes the presumption.
 PRESUME_UNKNOWN_AFTER = 10.0
 PROBE_TIMEOUT = 0.5
 
 
 class RunUnknown(RowanportError):
-    """The upstream that was named knows no run of the request.
+    """The recorded upstream knows no run of the request.
 
-    :param remembered: whether it would know of one that it ever had
+    :param remembered: whether the upstream keeps a list of its past runs, so
+        that not knowing one shows that it never arrived
     """
 
     def __init__(self, upstream, remembered=True):
@@ -40,10 +42,11 @@
 
 
 class Resolution:
-    """What a dead entry's run is settled with.
+    """The result that the run of a dead router is settled with.
 
-    :ivar tokens: 0 if it never began
-    :ivar expiry: of its bill, NO_BILL if there is none
+    :ivar run: run id, or the reservation id if it is presumed spent
+    :ivar tokens: tokens consumed, 0 if the run never began
+    :ivar expiry: expiry of the bill, NO_BILL if there is none
     """
 
     __slots__ = ("run", "tokens", "expiry")
@@ -58,13 +61,13 @@
 
 
 class OrphanResolver:
-    """Finds out what the runs of dead entries consumed.
+    """Determines what the runs of dead entry routers consumed.
 
-    :param resolve: coroutine function of a reservation, to ``(run, tokens)``
-        or None while that is not known; it raises RunUnknown
+    :param resolve: coroutine function that takes a reservation and returns
+        ``(run, tokens)``, or None while unknown; it may raise RunUnknown
     :param peers: a PeerClient
     :param members: the Membership
-    :param bill_memory: seconds for which a bill is remembered
+    :param bill_memory: seconds for which a bill is kept after the deadline
     :param clock: a Clock
     """
 
@@ -76,7 +79,7 @@
         self._clock = clock
 
     async def resolve(self, orphan):
-        """Return the Resolution of an orphan, or None while unknown.
+        """Return the Resolution of a reservation, or None while unknown.
 
         :param orphan: a Reservation or a witnessed OpenReservation
         """
@@ -84,8 +87,8 @@
         if orphan.orphaned_at is None:
             orphan.orphaned_at = now
         if not orphan.upstream:
-            # Its router has to name the upstream before it sends the run, and
-            # is refused once the reservation is given back.
+            # A router has to record the upstream before it sends the run, and
+            # is refused that once the reservation is released.
             late = now >= orphan.orphaned_at + RELEASE_AFTER
             return NOT_RUN if late else None
         return await self._resolve_started(orphan, now)
@@ -99,7 +102,7 @@
         except RunUnknown as error:
             unknown = error
         if orphan.orphaned_at is None or orphan.upstream != upstream:
-            # Its router is back, and may have sent it elsewhere.
+            # Its router is back and may have sent the run elsewhere.
             return None
         if result is not None:
             expiry = orphan.deadline + self._bill_memory
@@ -109,11 +112,15 @@
                 return NOT_RUN
         if self._clock.wall() < _presume_at(orphan, unknown):
             return None
-        # Nobody can tell: presume all spent, on no bill.
+        # The consumption cannot be determined: presume that all reserved
+        # tokens were spent, without a bill.
         return Resolution(orphan.reservation, orphan.tokens, NO_BILL)
 
     def _never_arrives(self, orphan, asked_at):
-        """Return whether a run that its engine does not know never began.
+        """Return whether a run unknown to its engine can no longer begin.
+
+        That is so if the router's process had ended long enough before the
+        engine was asked, and the engine cannot have restarted since.
 
         :param asked_at: wall time before the engine was asked
         """
@@ -125,9 +132,10 @@
         return self._clock.wall() < orphan.started_at + MIN_ENGINE_RESTART
 
     async def _record_router_end(self, orphan):
-        """Note whether the process of an orphan's router has ended.
+        """Record when the process of the router was known to have ended.
 
-        One that merely does not answer may be paused, and send the run later.
+        A router that just does not answer may be paused and send the run
+        later.
         """
         if orphan.router_ended_at is None and await self._has_router_ended(
             orphan.router
@@ -142,14 +150,14 @@
         except PeerGone:
             return True
         except PeerError as error:
-            LOG.info("dead_entry_silent", router=router, error=str(error))
+            LOG.info("dead_entry_unreachable", router=router, error=str(error))
         return False
 
 
 def _presume_at(orphan, unknown):
-    """Return when the run of an orphan is presumed spent.
+    """Return the wall time at which a run is presumed spent.
 
-    :param unknown: the RunUnknown of its upstream, None if it did not answer
+    :param unknown: the RunUnknown of the upstream, None if it did not answer
     """
     late = orphan.deadline + PRESUME_AFTER
     if unknown is None:
@@ -158,10 +166,10 @@
 
 
 def log_resolved(message, upstream):
-    """Log what a dead entry's run is settled with.
+    """Log the settlement of a dead entry router's run.
 
     :param message: the Settle message
-    :param upstream: where it was sent, empty if its run had not started
+    :param upstream: address it was sent to, empty if it had not started
     """
     LOG.info(
         "dead_entry_settled",
--- a/rowanport/ledger/recoverer.py
+++ b/rowanport/ledger/recoverer.py
@@ -1,4 +1,4 @@
-"""What a home does for the dead: bills their runs, recovers their grants."""
+"""Settles runs of dead routers and recovers grants of dead holders."""
 
 import asyncio
 
@@ -23,12 +23,19 @@
 
 
 class Recoverer:
-    """Acts for dead entries and dead holders, on behalf of one keeper.
-
+    """Resolves dead entry routers and dead holders for one LedgerKeeper.
+
+    :param incarnation: incarnation of this router
+    :param peers: a PeerClient
+    :param members: the Membership
+    :param settings: LedgerSettings
+    :param clock: a Clock
+    :param metrics: the Metrics
     :param book: this router's ReservationBook
-    :param resolve: coroutine function of a Reservation whose entry died,
-        to ``(run, tokens)`` or None while that is not known
-    :param attest: function of an Attest message, this router's own answer
+    :param resolve: coroutine function that takes a Reservation whose entry
+        router died and returns ``(run, tokens)``, or None while unknown
+    :param attest: function that returns this router's answer to an Attest
+        message
     """
 
     def __init__(
@@ -56,10 +63,13 @@
         self._resolving = set()
         self._tasks = TaskSet()
 
-    # Dead entries
+    # Dead entry routers
 
     def resolve_orphans(self, holder):
-        """Bill the runs of a holder's dead entries by what upstreams say."""
+        """Settle the runs of a holder's dead entry routers.
+
+        The upstreams are asked how many tokens the runs consumed.
+        """
         for reservation in holder.reservations():
             if not self._is_orphan(reservation):
                 reservation.orphaned_at = reservation.router_ended_at = None
@@ -70,17 +80,18 @@
             self._tasks.spawn(self._resolve_one(holder, reservation))
 
     def _is_orphan(self, reservation):
-        """Return whether nobody follows a reservation's run any more.
+        """Return whether the entry router of a reservation died.
 
-        One of this router's own entry names its witness, whose death cuts
-        off no run: it would be cancelled at its deadline under its caller.
+        A reservation of this router's own requests has the witness as its
+        ``entry``.  It is no orphan when the witness dies: if it were, its run
+        would be cancelled at the deadline while the caller still reads it.
         """
         if reservation.reservation in self._book:
             return False
         return not self._members.is_alive(reservation.entry)
 
     async def _resolve_one(self, holder, reservation):
-        """Bill a run whose entry died by what its upstream says."""
+        """Settle a run whose entry router died, as its upstream reports."""
         try:
             result = await self._resolver.resolve(reservation)
             if result is None or not holder.holds(reservation):
@@ -105,7 +116,12 @@
     # Dead holders
 
     def recover_dead_holders(self, state, now):
-        """Recover the grants of this cell's dead holders of a shard."""
+        """Recover the grants of dead holders of a shard in this cell.
+
+        A recovery is tried again every ``RECOVER_AFTER`` seconds.
+
+        :param state: the ShardState
+        """
         record = state.holder.record
         if record is None:
             return
@@ -119,10 +135,10 @@
                 self._tasks.spawn(self._recover(state, holder, record))
 
     def _is_recoverable(self, holder, record):
-        """Return whether a holder's grants may be taken back.
+        """Return whether a holder's grants may be recovered.
 
-        One that was recovered before is again, as long as anything is kept of
-        its grants, though its router may be back.
+        A holder that was recovered before is recovered again while part of
+        its grants is kept, even if its router is back.
         """
         if cell_of(holder) != cell_of(self._incarnation):
             return False
@@ -131,13 +147,22 @@
         return not self._members.is_alive(incarnation_of(holder))
 
     async def _recover(self, state, dead, record):
-        """Take back a dead holder's grants if all who may owe attest."""
+        """Recover a dead holder's grants if all routers that may owe attest.
+
+        :param state: the ShardState
+        :param dead: id of the dead holder
+        :param record: the ShardRecord as last read
+        """
         asked = set(record.holders[dead].entries)
         asked.update(map(incarnation_of, live_holders(record)))
         if not self._members.is_alive(incarnation_of(dead)):
             asked.discard(incarnation_of(dead))
         if incarnation_of(dead) in record.holders[dead].entries:
-            LOG.info("holder_unrecovered", holder=dead, error="was alone")
+            LOG.info(
+                "holder_unrecovered",
+                holder=dead,
+                error="listed itself as an entry",
+            )
             return
         message = Attest(dead, state.shard)
         kept = self._attest(message).outstanding
@@ -167,7 +192,7 @@
             address_of(peer), message, ATTEST_TIMEOUT
         )
         if not isinstance(answer, Attested) or answer.incarnation != peer:
-            raise PeerError(f"{peer} is gone")
+            raise PeerError(f"{peer} was restarted or did not attest")
         return answer
 
 
