--- a/rowanport/ledger/reserver.py
+++ b/rowanport/ledger/reserver.py
@@ -1,4 +1,4 @@
-"""Finds a home that sets tokens aside for one request."""
+"""Reserves tokens for a request at a home router."""
 
 import asyncio
 
@@ -20,11 +20,11 @@
 
 
 class _Search:
-    """What was tried to get one reservation.
+    """The attempts made for one request so far.
 
-    :ivar tried: homes that are not asked again
-    :ivar silent: witnesses that did not answer
-    :ivar failure: why the last home gave none
+    :ivar tried: home routers that are not asked again
+    :ivar unresponsive: witnesses that did not accept a reservation
+    :ivar failure: why the last attempt failed
     """
 
     __slots__ = ("tried", "unresponsive", "failure")
@@ -35,19 +35,22 @@
         self.failure = None
 
     def exclude_home(self, home, why):
-        """Ask a home no more."""
+        """Do not ask a home router again."""
         self.tried.add(home)
         self.failure = why
 
     def exclude_witness(self, witness):
-        """Note that a witness, if there was one, did not answer."""
+        """Do not choose a witness again.
+
+        :param witness: its incarnation, or None if there was none
+        """
         if witness is not None:
             self.unresponsive.add(witness)
-        self.failure = "its witness does not answer"
+        self.failure = "its witness does not answer or refused"
 
 
 class Reserver:
-    """Asks the homes of a budget's shard, one after the other.
+    """Asks the home routers of a budget's shard one after the other.
 
     :param incarnation: incarnation of this router
     :param keeper: this router's LedgerKeeper, for shards homed here
@@ -56,8 +59,8 @@
     :param members: the Membership
     :param settings: LedgerSettings
     :param clock: a Clock
-    :param witnessing: the Witnessing
-    :param release: function that gives back a reservation, by its id
+    :param witness_client: the WitnessClient
+    :param release: function that releases a reservation by its id
     """
 
     def __init__(
@@ -83,15 +86,20 @@
         self._release = release
 
     async def reserve(self, request, budget, tokens, deadline):
-        """Set tokens aside and return the OpenReservation.
+        """Reserve tokens and return the OpenReservation.
 
+        :param request: id of the request
+        :param budget: name of the budget
+        :param tokens: tokens to reserve
+        :param deadline: wall time at which the request ends
         :raises RequestError: the budget is unknown, exhausted or cannot be
-            reached; nothing was set aside then
+            reached; nothing stays reserved then
         """
         shard = self._keeper.shard(budget)
         search = _Search()
         for _try in range(MAX_HOME_ATTEMPTS):
-            # Asked anew each time: a home or witness that failed is suspect.
+            # Chosen anew for each attempt: a home router or witness that
+            # failed is suspected by then.
             home = self._next_untried(shard, search.tried)
             if home is None:
                 break
@@ -105,13 +113,14 @@
             if reservation is not None:
                 return reservation
         raise RequestError(
-            ErrorKind.BUDGET_UNAVAILABLE, f"no home answers: {search.failure}"
+            ErrorKind.BUDGET_UNAVAILABLE,
+            f"no home router answers: {search.failure}",
         )
 
     async def _ask_home(self, home, message, search):
-        """Ask a home; return the usable OpenReservation, or None.
+        """Ask a home router; return the usable OpenReservation, or None.
 
-        :raises RequestError: it refused, and so would others
+        :raises RequestError: it refused for a reason that holds for all homes
         """
         witness = self._witness_client.choose(home, search.unresponsive)
         message.entry = witness or self._incarnation
@@ -123,7 +132,7 @@
             self._release(message.reservation)
             return None
         except asyncio.CancelledError:
-            # The caller went away: nobody else would give it back.
+            # The caller disconnected, so nothing else would release it.
             self._release(message.reservation)
             raise
         if isinstance(answer, Refused):
@@ -147,19 +156,23 @@
         return None
 
     def _handle_refusal(self, home, answer, search):
-        """Note why a home refused, if it is worth while to ask on."""
+        """Record why a home router refused, if another attempt may succeed.
+
+        :raises RequestError: it refused for a reason that holds for all homes
+        """
         if answer.kind == ErrorKind.STOPPING.value:
             search.exclude_home(home, answer.detail)
         elif answer.kind == ErrorKind.NOT_READY.value:
-            # It begins anew, without what was recovered from it.
+            # It has restarted its holder after a recovery: ask it again.
             search.failure = answer.detail
         else:
             raise RequestError(ErrorKind(answer.kind), answer.detail)
 
     def _is_recovered(self, answer):
-        """Return whether a home granted what others have recovered from it.
+        """Return whether an answer is from a holder that was recovered.
 
-        One that was paused meanwhile learns that by its next read.
+        A home router that was paused during the recovery learns of it only
+        when it next reads the shard.
         """
         if not isinstance(answer, Reserved):
             return False
@@ -191,7 +204,7 @@
         return reservation if reservation.usable else None
 
     def _log_unwitnessed(self, reservation):
-        """Log a reservation that dies with this router, if it does."""
+        """Log a reservation that no other router knows of."""
         if reservation.home == self._incarnation:
             LOG.info(
                 "reservation_unwitnessed",
@@ -201,10 +214,11 @@
             )
 
     async def _send(self, home, message):
-        """Send a Reserve and return the answer.
+        """Send a Reserve message and return the answer.
+
+        A home router may take long to find tokens, so it is probed meanwhile.
 
-        A home may take its time to find tokens, but one that does not even
-        answer a probe is given up at once.
+        :raises PeerError: it did not answer, or not even a probe
         """
         if home == self._incarnation:
             return await self._keeper.handle(message)
--- a/rowanport/ledger/witness_client.py
+++ b/rowanport/ledger/witness_client.py
@@ -1,4 +1,4 @@
-"""What an entry tells the witnesses of its reservations."""
+"""Registers reservations of this router with their witnesses."""
 
 import asyncio
 
@@ -15,13 +15,16 @@
 LOG = structlog.get_logger(__name__)
 WITNESS_TIMEOUT = 0.3
 SHORT_TIMEOUT = 1.0
-# Seconds between two tries to tell a witness that a reservation has ended: a
-# paused witness holds nobody up, and a dead one is not called in a loop.
+# Seconds between attempts to tell a witness that a reservation has ended.  It
+# keeps a dead witness from being called in a tight loop, and no request waits
+# for a paused one.
 END_RETRY_INTERVAL = 1.0
 
 
 class WitnessClient:
-    """Has other routers remember what this one set aside for itself.
+    """Has other routers keep copies of reservations made for this one.
+
+    If this router dies, its witnesses settle the runs in its place.
 
     :param incarnation: incarnation of this router
     :param keeper: this router's LedgerKeeper
@@ -41,24 +44,30 @@
 
     @property
     def pending_ends(self):
-        """Return how many ends some witness has yet to be told."""
+        """Return how many ends have yet to be confirmed by a witness."""
         return len(self._pending_ends)
 
     def choose(self, home, unresponsive):
-        """Return who is to remember a reservation, or None.
+        """Return the witness to ask for a reservation, or None.
 
-        :param home: who sets it aside; another home needs no witness
-        :param silent: witnesses that did not answer for this request
+        :param home: incarnation of the home router; one other than this
+            router knows of the reservation itself, so no witness is needed
+        :param unresponsive: witnesses that did not answer for this request
         """
         if home != self._incarnation:
             return None
         return self._selector.choose(unresponsive)
 
-    # Telling
+    # Registering
 
     async def register(self, reservation, witness):
-        """Have a witness remember a reservation; return whether it does."""
-        # Noted first: it has to be told the end even if its answer is lost.
+        """Register a reservation with a witness; return whether it accepted.
+
+        :param reservation: the OpenReservation
+        :param witness: incarnation of the witness
+        """
+        # Recorded before the call: the witness has to be told of the end even
+        # if its answer is lost.
         reservation.asked_witnesses.append(witness)
         message = Witness(
             reservation.request,
@@ -75,7 +84,7 @@
             )
         except PeerError as error:
             LOG.info(
-                "witness_silent",
+                "witness_unreachable",
                 request=reservation.request,
                 reservation=reservation.reservation,
                 witness=witness,
@@ -84,17 +93,20 @@
             self._members.suspect(witness)
             return False
         if not isinstance(answer, Ack):
-            # It took part in recovering this home, believed dead.
+            # It took part in recovering this router's grants, as this router
+            # seemed dead.
             return False
         reservation.witness = witness
         return True
 
     async def unregister(self, reservation):
-        """Have all witnesses forget, so that none presumes it spent.
+        """Tell all witnesses that a reservation has ended.
+
+        Otherwise they would presume it spent.  A witness that seems dead may
+        be just paused or cut off and would keep its copy forever, so it is
+        called again until the membership forgets it.
 
-        A witness that seems dead may only be paused or cut off: it keeps the
-        reservation, and would keep it for good.  So it is told once it is
-        back, as long as members remember it.
+        :param reservation: the OpenReservation
         """
         await asyncio.gather(
             *(
@@ -113,11 +125,12 @@
             self._pending_ends.discard(key)
 
     def _awaits_witness(self, reservation, witness):
-        """Return whether a reservation is unsettled until a witness knows.
+        """Return whether a reservation is unsettled until the witness knows.
 
-        Not if it is billed and the witness is of another cell: the shard
-        refuses to presume it spent besides, and after a kill of the witness
-        the books would stay open for as long as members remember it.
+        It is not if it is billed and the witness is in another cell.  The
+        shard ignores a presumption about a billed reservation, and if the
+        witness was killed, the reservation would count as unsettled until
+        the membership forgets the witness.
         """
         local = cell_of(witness) == cell_of(self._incarnation)
         return local or not reservation.settlement.tokens
@@ -136,7 +149,7 @@
     # Replacing
 
     def unwitnessed(self):
-        """Return own reservations that no live witness remembers."""
+        """Return this router's own reservations without a live witness."""
         return [
             reservation
             for reservation in self._book
@@ -151,9 +164,9 @@
         return self._members.is_alive(reservation.witness)
 
     async def replace(self, reservation):
-        """Have another router remember a run whose witness died.
+        """Register a reservation with a new witness after the old one died.
 
-        Were this router killed too, nobody alive would know of the run.
+        Otherwise no live router would know of the run if this one was killed.
         """
         witness = self._selector.choose(set())
         if witness is None or reservation.reservation not in self._book:
--- a/rowanport/ledger/witness_selector.py
+++ b/rowanport/ledger/witness_selector.py
@@ -1,7 +1,7 @@
-"""Chooses who remembers the reservations that a home makes for its own entry.
+"""Selects witnesses for reservations that a router makes for itself.
 
-When a router is killed that was both entry and home, only a witness knows of
-its runs and has them billed.
+If a router is killed that was both entry router and home router of a run,
+only the witness knows of the run and can settle it.
 """
 
 from ..hashing import rendezvous
@@ -10,7 +10,7 @@
 
 
 class WitnessSelector:
-    """Names the witnesses of one router.
+    """Selects the witnesses of one router.
 
     :param incarnation: incarnation of this router
     :param members: the Membership
@@ -23,11 +23,11 @@
     def choose(self, failed):
         """Return the witness to ask next, or None if there is none.
 
-        A router of the own cell comes first.  If none is alive, one of
-        another cell is asked: in a cell of two routers, a witness that is
-        slow once would otherwise leave the next runs without any, and a kill
-        would leave their tokens on no bill.  Only one of another cell is
-        tried, as a cell that is cut off reaches none of them.
+        A router of the same cell is preferred.  If none is alive, one of
+        another cell is asked.  Otherwise, in a cell of two routers, a witness
+        that is slow once would leave the next runs without a witness, and
+        their tokens unbilled if the router was killed.  Only one router of
+        another cell is tried, as a cell that is cut off reaches none of them.
 
         :param failed: witnesses that did not answer for this request
         """
@@ -43,7 +43,8 @@
         entries = self._members.entries()
         if entries != [self._incarnation]:
             return entries
-        # Listed beforehand, or each request after a pause waits for a write.
+        # Listed in advance, as a reservation has to wait until its entry is
+        # written to the shard.
         remote = self._remote_witness()
         return [*entries, remote] if remote is not None else entries
 
