--- a/rowanport/ledger/bills.py
+++ b/rowanport/ledger/bills.py
@@ -1,4 +1,4 @@
-"""Bills that a holder has taken in and that are not yet in the shard."""
+"""Bills that a holder has accepted and not yet written to the shard."""
 
 import collections
 
@@ -20,7 +20,7 @@
 
 
 class UnwrittenBills:
-    """Bills by reservation, each with the entry that it came from."""
+    """Bills by reservation id, each with its entry router."""
 
     def __init__(self):
         self._bills = {}
@@ -36,44 +36,45 @@
         return iter([bill for bill, _entry in self._bills.values()])
 
     def is_presumed(self, reservation):
-        """Return whether the bill kept of a reservation is presumed."""
+        """Return whether the bill of a reservation is a presumption."""
         bill, _entry = self._bills[reservation]
         return bill.expiry == NO_BILL
 
     def add(self, bill, entry):
-        """Keep a bill for the next batch.
+        """Queue a bill for the next batch.
 
-        :param entry: incarnation of the entry, None if not known
+        :param entry: incarnation of the entry router, None if not known
         """
         self._bills[bill.reservation] = (bill, entry)
 
     def mark_written(self, bill):
-        """Forget a bill that stands in the shard."""
+        """Remove a bill that is now in the shard."""
         self._bills.pop(bill.reservation, None)
         self._written.append(bill.reservation)
 
     def pop_written(self):
-        """Return ids of reservations whose bills stand in the shard."""
+        """Return ids of reservations whose bills were newly written."""
         written = self._written
         self._written = []
         return written
 
     def reservations(self):
-        """Return the ids of the reservations that are billed."""
+        """Return the ids of the reservations of all bills."""
         return set(self._bills)
 
     def entries(self):
-        """Return the known entries that the bills came from.
+        """Return the known entry routers of the bills.
 
-        A recovery asks each entry that is listed: an empty name would make
-        it fail each time, and strand the grants.
+        Unknown ones are left out.  A recovery asks each listed entry router
+        to attest: an empty name would make every recovery fail, and the
+        grants would never be freed.
         """
         return {
             entry for _bill, entry in self._bills.values() if entry is not None
         }
 
     def owed(self, holder):
-        """Return what the bills take from a holder's grants, by budget."""
+        """Return the tokens to debit from a holder's grants, by budget."""
         owed = collections.Counter()
         for bill in self:
             if bill.holder == holder:
--- a/rowanport/ledger/book.py
+++ b/rowanport/ledger/book.py
@@ -1,8 +1,8 @@
-"""The entry's side of reservations: what it asked for and still owes.
+"""Open reservations at their entry router and at witnesses.
 
-An entry keeps each reservation until its bill is known to stand in the
-shard.  So a home that dies takes nothing with it that an entry cannot bring
-to the next home, or attest when the dead home's grants are recovered.
+An entry router keeps each reservation until its bill is known to be in the
+shard.  If the home router dies, the entry router can send the bill to the
+next home, and attest the reservation when the grants are recovered.
 """
 
 import collections
@@ -14,20 +14,24 @@
 
 
 class OpenReservation:
-    """One reservation as its entry sees it.
-
-    :ivar home: incarnation that was asked
-    :ivar since: wall time at which this router took it in
-    :ivar started_at: as that of a Reservation
-    :ivar orphaned_at: as that of a Reservation
-    :ivar gone_at: as that of a Reservation
-    :ivar holder: holder that granted it; empty while unanswered
+    """One reservation at its entry router or at a witness.
+
+    :ivar home: incarnation of the home router that was asked
+    :ivar since: wall time at which this router opened or accepted it
+    :ivar started_at: wall time at which its upstream was recorded, or None
+    :ivar orphaned_at: wall time at which its router was first found dead;
+        None while it seems alive
+    :ivar router_ended_at: wall time at which the process of its router was
+        known to have ended, or None
+    :ivar holder: id of the holder that made it; empty until confirmed
     :ivar settlement: the Settle message, once the run has ended
-    :ivar witness: incarnation that remembers it too, if any
-    :ivar asked: incarnations that may remember it, to be told its end
-    :ivar witnessed: whether it is kept for the home's own entry
-    :ivar upstream: where it runs, empty until that is known
-    :ivar usable: whether a run may start on it, its witness told
+    :ivar witness: incarnation of the router that keeps a copy, or None
+    :ivar asked_witnesses: incarnations that may keep a copy and have to be
+        told of its end
+    :ivar witnessed: whether this is a copy kept as a witness
+    :ivar upstream: address the run is sent to, empty until that is known
+    :ivar usable: whether a run may start: confirmed by the home router, and
+        registered with a witness if there is one
     """
 
     __slots__ = (
@@ -73,22 +77,26 @@
 
     @property
     def router(self):
-        """Return the incarnation of the router that has it run."""
+        """Return the incarnation of the router that sends the run.
+
+        Only for copies kept as a witness: there the home router is also the
+        entry router.
+        """
         return incarnation_of(self.holder)
 
     @property
     def owed(self):
-        """Return the tokens that may be taken from the holder's grant."""
+        """Return the most tokens that it may debit from the holder's grant."""
         if self.settlement is not None:
             return self.settlement.tokens
         return self.tokens
 
 
 class ReservationBook:
-    """All open reservations of one entry.
+    """All reservations open at one entry router, and copies it witnesses.
 
     :param incarnation: incarnation of this router
-    :param new_id: function that returns fresh ids
+    :param new_id: function that returns unique ids
     """
 
     def __init__(self, incarnation, new_id):
@@ -107,7 +115,7 @@
         return iter(list(self._open.values()))
 
     def get(self, reservation_id):
-        """Return the OpenReservation of an id."""
+        """Return the OpenReservation with an id."""
         return self._open[reservation_id]
 
     def open(self, request, budget, tokens, deadline, home, waits_until):
@@ -127,10 +135,10 @@
         )
 
     def confirm(self, answer):
-        """Take in a Reserved answer; return the reservation to use.
+        """Record a Reserved answer.
 
-        :returns: None if it must not be used, because its holder was
-            attested as dead or the reservation is closed already
+        :returns: the OpenReservation; None if it must not be used, because
+            its holder was attested as dead or it is already settled
         """
         reservation = self._open.get(answer.reservation)
         if reservation is None or reservation.settlement is not None:
@@ -141,17 +149,21 @@
         return reservation
 
     def reject(self, reservation_id):
-        """Forget a reservation that its home refused."""
+        """Remove a reservation that its home router refused."""
         self._open.pop(reservation_id, None)
 
     def set_upstream(self, reservation_id, upstream):
-        """Return the message that tells the home where a run goes."""
+        """Record the upstream of a run; return the Started message to send."""
         reservation = self._open[reservation_id]
         reservation.upstream = upstream
         return Started(reservation_id, reservation.budget, upstream)
 
     def record_start(self, message, now):
-        """Note where a witnessed run goes; return whether it is known."""
+        """Record the upstream of a witnessed run.
+
+        :param message: the Started message
+        :returns: False if the reservation is not kept here as a witness
+        """
         reservation = self._open.get(message.reservation)
         if (
             reservation is None
@@ -166,7 +178,7 @@
     def settle(self, reservation_id, run, tokens, expiry):
         """Close a reservation and return the Settle message to send.
 
-        It stays in the book until :meth:`written` says that it is safe.
+        It stays in the book until :meth:`remove` is called.
         """
         reservation = self._open[reservation_id]
         reservation.settlement = Settle(
@@ -181,14 +193,15 @@
         return reservation.settlement
 
     def remove(self, reservation_id):
-        """Forget a reservation whose bill stands in the shard."""
+        """Remove a reservation that is billed, released or has ended."""
         self._open.pop(reservation_id, None)
 
     def add_witnessed(self, message, now):
-        """Remember a reservation that a home made for its own entry.
+        """Keep a copy of a reservation that a home router made for itself.
 
-        :returns: False if its holder was attested as dead: it must not be
-            used, as the attestation did not count it
+        :param message: the Witness message
+        :returns: False if its holder was attested as dead; the attestation
+            did not count the reservation, so it must not be used
         """
         if message.holder in self._fenced:
             return False
@@ -210,9 +223,9 @@
         return True
 
     def orphans(self, is_alive):
-        """Return witnessed reservations whose home died.
+        """Return witnessed reservations whose home router died.
 
-        :param is_alive: function of a holder
+        :param is_alive: function that takes a holder id
         """
         orphans = []
         for reservation in self._open.values():
@@ -229,9 +242,9 @@
         return holder in self._fenced
 
     def attest(self, holder):
-        """Return what a dead holder's grants still owe for this entry.
+        """Return the tokens still owed of a dead holder's grants, by budget.
 
-        From now on no reservation by that holder is used.
+        The holder is fenced: no new reservation of it is used from now on.
         """
         self._fenced.add(holder)
         outstanding = collections.Counter()
