--- a/rowanport/ledger/keeper.py
+++ b/rowanport/ledger/keeper.py
@@ -1,4 +1,4 @@
-"""The home's shell: connects holders to the store and to peers."""
+"""Runs the holders of a home router and syncs them with the store."""
 
 import asyncio
 
@@ -42,6 +42,7 @@
 IDLE_TICK = 0.25
 REVIEW_INTERVAL = 1.0
 ASK_TIMEOUT = 0.5
+# Seconds after which a shard is given up whose home is now another router.
 RETIRE_AFTER = 10.0
 STORE_RETRY_DELAY = 0.5
 WRITE_TIMEOUT = 25.0
@@ -58,19 +59,19 @@
 
 
 class LedgerKeeper:
-    """Runs the holders of one router.
+    """Runs the holders of one router and answers messages to them.
 
     :param incarnation: incarnation of this router
     :param store: the Store
     :param peers: a PeerClient
-    :param members: the Membership, for homes and live routers
-    :param book: this router's ReservationBook, to attest with
+    :param members: the Membership, for home routers and live routers
+    :param book: this router's ReservationBook, for attestations
     :param settings: LedgerSettings
     :param allowance: the WriteLimiter of this router
     :param clock: a Clock
     :param metrics: the Metrics
-    :param resolve: coroutine function of a Reservation whose entry died,
-        to ``(run, tokens)`` or None while that is not known
+    :param resolve: coroutine function that takes a Reservation whose entry
+        router died and returns ``(run, tokens)``, or None while unknown
     """
 
     def __init__(
@@ -122,21 +123,21 @@
 
     @property
     def unsettled(self):
-        """Return how many reservations held for other entries are not safe.
+        """Return how many reservations of other entry routers are unsettled.
 
-        When their entry dies, no other router knows that they are yet to be
-        billed: a fleet that did not count them would call itself settled
-        some seconds, or a whole run, too early.
+        If an entry router dies, only the home router knows that its runs are
+        not billed yet.  Without this count the fleet would report itself
+        settled some seconds, or a whole run, too early.
         """
         held = (state.holder.unsettled() for state in self._shards.values())
         ids = set().union(*held)
         return sum(reservation not in self._book for reservation in ids)
 
     def unsettled_items(self):
-        """Return an UnsettledItem of each reservation held for others.
+        """Return an UnsettledItem per open reservation of other routers.
 
-        Bills that are yet to be written are left out: they stand there for
-        the time between two writes.
+        Bills that are not written yet are left out, as they are written
+        with the next batch.
         """
         alive = self._members.is_alive
         return [
@@ -146,7 +147,7 @@
             if reservation.reservation not in self._book
         ]
 
-    # Places
+    # Shards
 
     def shard(self, budget):
         """Return the shard of a budget."""
@@ -179,10 +180,10 @@
     # Messages
 
     async def handle(self, message):
-        """Answer a message of a peer or of this router's own entry."""
+        """Answer a message from a peer or from this router's LedgerClient."""
         now = self._clock.wall()
         if isinstance(message, Ack):
-            # A probe: the answer says that this router runs.
+            # A probe: the answer shows that this router is running.
             return Ack()
         if isinstance(message, Attest):
             return self._attest(message)
@@ -199,9 +200,9 @@
         return Refused(ErrorKind.INTERNAL.value, "unexpected message")
 
     def rename_entry(self, reservation):
-        """Note which witness remembers a reservation of the own entry.
+        """Record a new witness of a reservation made for this router.
 
-        :param entry: its OpenReservation
+        :param reservation: the OpenReservation
         """
         holder = self._shard_state(self.shard(reservation.budget)).holder
         holder.rename_entry(
@@ -209,11 +210,11 @@
         )
 
     def is_listed(self, reservation):
-        """Return whether the shard lists the witness of an own reservation.
+        """Return whether the shard lists the witness of a reservation.
 
-        Who recovers this home's grants asks only those that are listed.
+        A recovery of this router's grants asks only listed routers to attest.
 
-        :param entry: its OpenReservation
+        :param reservation: an OpenReservation made for this router
         """
         holder = self._shard_state(self.shard(reservation.budget)).holder
         return (
@@ -222,7 +223,10 @@
         )
 
     async def _cancel_leave(self, holder):
-        """Return the shard's holder, kept from leaving if it may be."""
+        """Return the shard's holder with its leave cancelled.
+
+        If the leave can't be cancelled any more, this waits for a new holder.
+        """
         while holder.leaving and not self._stopping and not holder.stay():
             await asyncio.sleep(TICK)
             holder = self._shard_state(holder.shard).holder
@@ -255,7 +259,7 @@
             return Refused(ErrorKind.NOT_READY.value, "not written yet")
 
     def _flush(self, holder):
-        """Hand out answers and confirmations that a holder has ready."""
+        """Deliver the answers and confirmations that a holder has ready."""
         holder.pump(self._clock.wall())
         for message, answer in holder.take_answers():
             self._answers.finish(message.reservation, answer)
@@ -272,10 +276,10 @@
     # Loop
 
     async def run(self):
-        """Write due shards until cancelled.
+        """Sync shards that are due, until cancelled.
 
-        Ticks are short only while a reservation waits: at rest this loop is
-        most of what a router costs.
+        The loop runs often only while a reservation waits: in an idle router
+        it uses most of the processor time.
         """
         review = 0.0
         while True:
@@ -336,13 +340,13 @@
             )
 
     async def _read(self, state):
-        """Read the shard, and learn from it how a batch in flight fared."""
+        """Read the shard and check whether the batch in flight was written."""
         holder = state.holder
         value = await self._store.get(shard_key(state.shard))
         now = self._clock.wall()
         state.next_read = now + 2 * self._settings.interval
-        # Data and version belong together: a batch is only ever applied
-        # to the very value that its compare-and-swap expects.
+        # Set together: a batch must be applied to the same value that the
+        # compare-and-swap expects.
         state.version = value.version
         state.data = value.data
         record = read_shard(value)
@@ -358,7 +362,7 @@
             raise Expelled(state.holder.holder)
 
     async def _write(self, state, batch):
-        """Write a batch, however often others write in between."""
+        """Write a batch; on a conflict, read the shard and try again."""
         holder = state.holder
         urgent = holder.waiting or batch.draws or batch.leaving
         while not self._write_limiter.try_acquire(
@@ -378,7 +382,7 @@
                 await self._read(state)
                 continue
             except StoreError:
-                # Whether it took effect is learned by the next read.
+                # The next read shows whether the write took effect.
                 state.next_read = 0.0
                 raise
             self._metrics.batches.inc({})
@@ -421,7 +425,7 @@
             holder.ask_refused(message)
         self._flush(holder)
 
-    # Review: homes, dead entries, dead holders
+    # Periodic checks: home routers, dead entry routers, dead holders
 
     def _review_shards(self, now):
         shards = range(self._settings.shards)
@@ -443,7 +447,7 @@
             self._retire(state, now)
 
     def _retire(self, state, now):
-        """Give up a shard whose home is another router for good."""
+        """Leave a shard that has had another home router for some time."""
         if now > state.home_until and state.holder.idle:
             state.home_until = now + RETIRE_AFTER
             state.holder.leave()
@@ -453,7 +457,7 @@
     async def stop(self, deadline):
         """Give back all grants; return whether that was written in time.
 
-        :param deadline: wall time until which to try
+        :param deadline: wall time at which to stop trying
         """
         self._stopping = True
         for state in self._shards.values():
--- a/rowanport/ledger/shard_state.py
+++ b/rowanport/ledger/shard_state.py
@@ -1,18 +1,24 @@
-"""One ledger shard at one router."""
+"""Synchronisation state of one ledger shard at one router."""
 
 
 class ShardState:
-    """One shard at this router: its holder and when to write next.
+    """One shard at this router: its holder, data and next sync.
 
-    :ivar data: the shard as last read or written
-    :ivar version: its version in the store
-    :ivar last_sync: when the last round with the store began
-    :ivar next_sync: when the next one is due
-    :ivar next_read: from when on a round reads the shard first
-    :ivar task: the round under way, if any
-    :ivar home_until: until when this router counts as its home
-    :ivar dead_since: when each holder of this cell was first found dead
-    :ivar count: number of the holder among those of this router
+    A sync reads the shard if that is due and writes the next batch.  Times
+    are wall times.
+
+    :ivar shard: shard number
+    :ivar holder: the Holder
+    :ivar data: the shard's bytes as last read or written
+    :ivar version: version of the data in the store
+    :ivar last_sync: time at which the last sync began
+    :ivar next_sync: time at which the next sync is due
+    :ivar next_read: time from which a sync reads the shard first
+    :ivar sync_task: task of the last sync, or None
+    :ivar home_until: time until which this router counts as home router
+    :ivar dead_since: by holder id, the time at which a holder of this cell
+        was first found dead or last recovered
+    :ivar holder_number: how many holders of the shard this router has had
     """
 
     __slots__ = (
@@ -44,5 +50,5 @@
 
     @property
     def syncing(self):
-        """Return whether a round with the store is under way."""
+        """Return whether a sync is in progress."""
         return self.sync_task is not None and not self.sync_task.done()
--- a/rowanport/ledger/waiters.py
+++ b/rowanport/ledger/waiters.py
@@ -1,32 +1,32 @@
-"""Callers that wait for something with a name."""
+"""Futures that callers wait on, by key."""
 
 import asyncio
 
 
 class Waiters:
-    """Futures by name; all that wait for a name get the same answer."""
+    """Futures by key; all that wait for a key get the same answer."""
 
     def __init__(self):
         self._waiting = {}
 
-    async def wait(self, name):
-        """Return the answer that :meth:`finish` gives."""
+    async def wait(self, key):
+        """Wait for the answer that :meth:`finish` gives for a key."""
         future = asyncio.get_running_loop().create_future()
-        self._waiting.setdefault(name, []).append(future)
+        self._waiting.setdefault(key, []).append(future)
         try:
             return await future
         finally:
-            self._leave(name, future)
+            self._remove(key, future)
 
-    def _leave(self, name, future):
-        waiting = self._waiting.get(name, [])
+    def _remove(self, key, future):
+        waiting = self._waiting.get(key, [])
         if future in waiting:
             waiting.remove(future)
         if not waiting:
-            self._waiting.pop(name, None)
+            self._waiting.pop(key, None)
 
-    def finish(self, name, answer):
-        """Give all that wait for a name their answer."""
-        for future in self._waiting.pop(name, []):
+    def finish(self, key, answer):
+        """Give an answer to all that wait for a key."""
+        for future in self._waiting.pop(key, []):
             if not future.done():
                 future.set_result(answer)
