--- a/rowanport/ledger/client.py
+++ b/rowanport/ledger/client.py
@@ -1,4 +1,4 @@
-"""The entry's shell: reserves at homes and settles until it is safe."""
+"""Reserves tokens for requests and settles them, at the entry router."""
 
 import asyncio
 
@@ -24,25 +24,28 @@
 LOG = structlog.get_logger(__name__)
 SETTLE_TIMEOUT = 30.0
 SETTLE_RETRY_INTERVAL = 0.2
-# Seconds between two tries to tell a silent home of a release: a dead one is
-# not called in a loop.
+# Seconds between attempts to send a release to an unresponsive home router, so
+# that a dead one is not called in a tight loop.
 RELEASE_RETRY_INTERVAL = 1.0
 SHORT_TIMEOUT = 1.0
-# Seconds after which a home or witness that does not record a start is given
-# up, as one that answers no probe is.
+# Seconds for a home router or witness to record a start: the time after which
+# one that answers no probe is given up.
 START_TIMEOUT = PROBE_AFTER + PROBE_TIMEOUT
 
 
 class LedgerClient:
-    """Reserves and settles for one router's callers.
+    """Reserves and settles tokens for the requests of one router.
 
+    :param incarnation: incarnation of this router
     :param keeper: this router's LedgerKeeper, for shards homed here
     :param book: the ReservationBook
     :param peers: a PeerClient
     :param members: the Membership
     :param settings: LedgerSettings
     :param clock: a Clock
-    :param resolve: as for the LedgerKeeper
+    :param resolve: coroutine function that takes a witnessed reservation
+        whose home router died and returns ``(run, tokens)``, or None while
+        unknown
     """
 
     def __init__(
@@ -87,19 +90,20 @@
     # Reserving
 
     async def reserve(self, request, budget, tokens, deadline):
-        """Set tokens aside; see :meth:`Reserving.reserve`."""
+        """Reserve tokens; see :meth:`Reserver.reserve`."""
         return await self._reserver.reserve(request, budget, tokens, deadline)
 
     # Running and settling
 
     async def start(self, reservation, upstream):
-        """Record where a run goes, before its first byte is sent.
+        """Record the upstream of a run before its first byte is sent.
 
-        Who settles the reservation should this router die takes a run that
-        names no upstream for one that never began.
+        If this router dies, a run without a recorded upstream is settled as
+        one that never began.
 
-        :returns: False if it is not recorded: the run must not be sent, and
-            the reservation is to be given back
+        :param upstream: address of the upstream
+        :returns: False if it could not be recorded: the run must not be sent
+            and the reservation must be released
         """
         message = self._book.set_upstream(reservation.reservation, upstream)
         if not await self._record_start(reservation, message):
@@ -116,15 +120,16 @@
 
     async def _record_start(self, reservation, message):
         if reservation.home != self._incarnation:
-            # Where its home was recovered, only this router remembers it, and
-            # nobody else can give it back.
+            # If its holder was recovered, only this router knows of the
+            # reservation, and no other can release it.
             if self._book.is_fenced(reservation.holder):
                 return True
             return await self._send_start(reservation.home, message)
         await self._keeper.handle(message)
         replacing = self._replacing.get(reservation.reservation)
         if replacing is not None:
-            # The new witness is told of no upstream yet.
+            # Wait, as the new witness is being registered without the
+            # upstream.
             await asyncio.wait({replacing})
         if reservation.witness is None:
             return True
@@ -133,7 +138,10 @@
         return await self._send_start(reservation.witness, message)
 
     async def _send_start(self, peer, message):
-        """Tell a home or witness of a start; return whether it recorded it."""
+        """Send a Started message; return whether the peer recorded it.
+
+        :param peer: incarnation of the home router or witness
+        """
         try:
             answer = await self._peers.call(
                 address_of(peer), message, START_TIMEOUT
@@ -153,11 +161,11 @@
         return False
 
     def release(self, reservation_id):
-        """Give back a reservation whose run surely did not start."""
+        """Release a reservation whose run is known not to have started."""
         self.settle(reservation_id, "", 0)
 
     def settle(self, reservation_id, run, tokens):
-        """Bill a reservation; goes on in the background until written."""
+        """Settle a reservation in the background, until it is written."""
         expiry = self._clock.wall() + self._settings.bill_memory
         message = self._book.settle(reservation_id, run, tokens, expiry)
         reservation = self._book.get(reservation_id)
@@ -184,10 +192,11 @@
         await self._witness_client.unregister(reservation)
 
     async def _send_release(self, home, message):
-        """Tell a home that seems dead of a release, if it comes back.
+        """Send a release to a home router that seems dead, until it answers.
 
-        One that froze with the Reserve in its socket takes it in when it
-        wakes, and would hold the tokens for as long as this router lives.
+        One that was paused with the Reserve message in its socket handles it
+        after it resumes, and would keep the tokens reserved as long as this
+        router lives.
         """
         while self._members.is_known(incarnation_of(home)):
             try:
@@ -210,7 +219,7 @@
     # Witnessed reservations
 
     def handle(self, message):
-        """Take in a Witness, Started or WitnessEnd message."""
+        """Answer a Witness, Started or WitnessEnd message."""
         now = self._clock.wall()
         if isinstance(message, Witness):
             if not self._book.add_witnessed(message, now):
@@ -225,21 +234,21 @@
         return Ack()
 
     async def run(self):
-        """Each second, act for reservations that lost a home or witness."""
+        """Check each second for dead home routers and dead witnesses."""
         while True:
             await asyncio.sleep(SHORT_TIMEOUT)
             self._resolve_orphans()
             self._replace_witnesses()
 
     def _resolve_orphans(self):
-        """Bill witnessed runs of dead homes by what their upstreams say."""
+        """Settle witnessed runs whose home router died."""
         for reservation in self._book.orphans(self._is_holder_alive):
             if reservation.reservation not in self._resolving:
                 self._resolving.add(reservation.reservation)
                 self._tasks.spawn(self._resolve_orphan(reservation))
 
     def _replace_witnesses(self):
-        """Find witnesses for runs that lost theirs."""
+        """Register reservations with new witnesses if theirs have died."""
         for reservation in self._witness_client.unwitnessed():
             if reservation.reservation not in self._replacing:
                 task = self._tasks.spawn(self._replace_witness(reservation))
@@ -277,15 +286,16 @@
 
     @property
     def unbilled(self):
-        """Return how many reservations this router remembers as an entry.
+        """Return how many reservations are open or witnessed here.
 
-        One whose witness has yet to be told its end is remembered there, if
-        the witness lives: a dead one keeps no books open.
+        One that has ended here, but not yet at its witness, is not included:
+        a live witness counts it itself, and a dead one must not keep the
+        count above 0.
         """
         return len(self._book)
 
     def unsettled_items(self):
-        """Return an UnsettledItem of each that counts as unbilled."""
+        """Return an UnsettledItem for each unbilled reservation."""
         alive = self._is_holder_alive
         return [
             item_of_open_reservation(reservation, alive)
@@ -294,13 +304,13 @@
 
     @property
     def untold(self):
-        """Return how many ends some witness has yet to be told."""
+        """Return how many ends have yet to be confirmed by a witness."""
         return self._witness_client.pending_ends
 
     @property
     def unsettled(self):
         """Return how many reservations a planned stop waits for.
 
-        Those count too that are billed, but whose witness does not know yet.
+        This includes billed ones whose witness has not confirmed the end.
         """
         return len(self._book) + self.untold
--- a/rowanport/ledger/editor.py
+++ b/rowanport/ledger/editor.py
@@ -1,4 +1,4 @@
-"""Operators' changes of budgets: one CAS on the ledger shard each."""
+"""Changes of budgets by operators, each one compare-and-swap on a shard."""
 
 import asyncio
 
@@ -21,8 +21,10 @@
 class BudgetEditor:
     """Creates, changes and reads budgets in the store.
 
+    :param store: the Store
     :param shards: number of ledger shards
     :param who: name of the operator, for the audit trail
+    :param clock: a Clock
     """
 
     def __init__(self, store, shards, who, clock):
@@ -44,7 +46,11 @@
         return record, budget
 
     async def create(self, change_id, name, tokens):
-        """Add a budget with prepaid tokens."""
+        """Add a budget with prepaid tokens.
+
+        :param change_id: id of the change; a repeat has no effect
+        :raises UserError: the budget exists
+        """
 
         def make(record):
             if not add_budget(record, name, tokens):
@@ -54,9 +60,10 @@
         await self._apply(change_id, name, f"create budget {name}", make)
 
     async def top_up(self, change_id, name, tokens):
-        """Add tokens to a budget, or take away with a negative number.
+        """Add tokens to a budget; a negative number removes tokens.
 
-        :raises UserError: more would be taken than is free
+        :param change_id: id of the change; a repeat has no effect
+        :raises UserError: more would be removed than is free
         """
 
         def make(record):
@@ -84,7 +91,8 @@
             try:
                 return await self._apply_once(change_id, name, what, make)
             except StoreError as error:
-                # After a lost answer the next try sees the change's id.
+                # If the write took effect and only its answer was lost, the
+                # next attempt finds the change id in the audit trail.
                 failure = error
                 await asyncio.sleep(RETRY_INTERVAL)
         if isinstance(failure, StoreConflict):
--- a/rowanport/ledger/unsettled.py
+++ b/rowanport/ledger/unsettled.py
@@ -1,7 +1,7 @@
-"""What operators are shown of reservations that are not settled yet.
+"""Descriptions of unsettled reservations for operators.
 
-A number alone does not say whether a home waits for a run, for an engine's
-word or for a write; each of these has another remedy.
+A count alone does not show whether a reservation waits for its run, for an
+answer of the upstream or for a write; each calls for a different remedy.
 """
 
 ROLE_ENTRY = "entry"
@@ -18,11 +18,12 @@
 
 
 class UnsettledItem:
-    """One reservation that is not settled, as one router sees it.
+    """One reservation that is not settled, as seen by one router.
 
-    :ivar role: what this router is to it
-    :ivar peer: incarnation of its entry at its home, else of its home
-    :ivar since: wall time at which this router took it in
+    :ivar role: role of this router: "entry", "home" or "witness"
+    :ivar peer: incarnation of the entry router in the role "home", else of
+        the home router or its holder
+    :ivar since: wall time at which this router opened or accepted it
     :ivar reason: what it waits for
     """
 
@@ -52,7 +53,12 @@
         self.reason = reason
 
     def as_dict(self, now):
-        """Return it as plain values, times as seconds from now."""
+        """Return a dictionary of plain values.
+
+        The age and the time left until the deadline are in seconds.
+
+        :param now: wall time
+        """
         value = {name: getattr(self, name) for name in self.__slots__}
         value["age"] = round(now - value.pop("since"), 1)
         value["seconds_left"] = round(value.pop("deadline") - now, 1)
@@ -62,7 +68,7 @@
 def item_of_open_reservation(reservation, is_alive):
     """Return the UnsettledItem of an OpenReservation.
 
-    :param is_alive: function of a holder
+    :param is_alive: function that takes a holder id
     """
     role = ROLE_WITNESS if reservation.witnessed else ROLE_ENTRY
     peer = reservation.holder or reservation.home
@@ -82,9 +88,9 @@
 
 
 def item_of_held_reservation(reservation, is_alive):
-    """Return the UnsettledItem of a Reservation at its home.
+    """Return the UnsettledItem of a Reservation at its home router.
 
-    :param is_alive: function of an incarnation
+    :param is_alive: function that takes an incarnation
     """
     alive = is_alive(reservation.entry)
     reason = _orphan_reason(reservation, alive)
