--- a/rowanport/claims/__init__.py
+++ b/rowanport/claims/__init__.py
@@ -1,6 +1,6 @@
-"""Claims: a request that is not repeatable runs at most once."""
+"""Claims ensure that a non-repeatable request runs at most once."""
 
 from .keeper import ClaimKeeper
-from .shard import ClaimShard
+from .shard import ClaimQueue
 
-__all__ = ["ClaimKeeper", "ClaimShard"]
+__all__ = ["ClaimKeeper", "ClaimQueue"]
--- a/rowanport/claims/keeper.py
+++ b/rowanport/claims/keeper.py
@@ -1,4 +1,4 @@
-"""The claim home's shell, and the entry's calls to it."""
+"""Claims at their home router, and calls to it from entry routers."""
 
 import asyncio
 
@@ -15,17 +15,17 @@
 from ..schema.messages import ClaimEnd
 from ..schema.messages import ClaimShardRecord
 from ..tasks import TaskSet
-from .shard import ClaimShard
+from .shard import ClaimQueue
 from .shard import DONE
 from .shard import new_claim_shard
 from .shard import RELEASED
 
 TICK = 0.01
 IDLE_TICK = 0.5
-FAILED_PAUSE = 0.3
+STORE_RETRY_DELAY = 0.3
 ANSWER_MARGIN = 0.3
 END_TIMEOUT = 2.0
-END_TRIES = 20
+MAX_END_ATTEMPTS = 20
 
 
 def claim_key(shard):
@@ -33,14 +33,22 @@
     return f"claims/{shard}"
 
 
-class _Place:
-    """One claim shard at this router and what is known of its record."""
+class _ShardState:
+    """One claim shard at this router.
+
+    :ivar queue: its ClaimQueue
+    :ivar record: the ClaimShardRecord as last read or written, None if it
+        has to be read
+    :ivar version: version of the record in the store
+    :ivar next_write: wall time from which the next write may start
+    :ivar task: task of the last write, or None
+    """
 
     __slots__ = ("shard", "queue", "record", "version", "next_write", "task")
 
     def __init__(self, shard):
         self.shard = shard
-        self.queue = ClaimShard()
+        self.queue = ClaimQueue()
         self.record = None
         self.version = 0
         self.next_write = 0.0
@@ -48,7 +56,13 @@
 
 
 class ClaimKeeper:
-    """Claims requests, as home of some shards and as entry.
+    """Claims runs of requests, as an entry router and as home of shards.
+
+    :param incarnation: incarnation of this router
+    :param store: the Store
+    :param peers: a PeerClient
+    :param members: the Membership
+    :param settings: ClaimSettings
 
     :param write_limiter: the WriteLimiter of this router
     """
@@ -70,20 +84,21 @@
         self._settings = settings
         self._write_limiter = write_limiter
         self._clock = clock
-        self._places = {}
+        self._shards = {}
         self._answers = {}
         self._tasks = TaskSet()
         self._wake = asyncio.Event()
 
-    # Entry
+    # Entry router
 
     async def claim(self, call, run, upstream):
-        """Claim the one run of a request; return the Claimed answer.
+        """Claim a request for one run; return the Claimed answer.
 
         :param call: the Call
-        :param run: id of the run that wants to be the one
-        :raises RequestError: no claim could be written, and this run will
-            never start
+        :param run: id of the run to claim it for
+        :param upstream: address of the upstream
+        :raises RequestError: no claim could be written; the run must not
+            start
         """
         now = self._clock.wall()
         until = min(call.deadline, now + self._settings.wait)
@@ -103,7 +118,8 @@
         except PeerError as error:
             self.end(call.request, run, RELEASED)
             raise RequestError(
-                ErrorKind.CLAIM_UNAVAILABLE, f"no claim home: {error}"
+                ErrorKind.CLAIM_UNAVAILABLE,
+                f"home router of the claim failed: {error}",
             ) from None
         if isinstance(answer, Claimed):
             return answer
@@ -112,18 +128,18 @@
         raise RequestError(ErrorKind.CLAIM_UNAVAILABLE, detail)
 
     def end(self, request, run, state=DONE):
-        """Say how a claimed run ended, in the background."""
+        """Report in the background how a claimed run ended."""
         message = ClaimEnd(request, run, state)
         self._tasks.spawn(self._end(message))
 
     async def _end(self, message):
-        for _try in range(END_TRIES):
+        for _try in range(MAX_END_ATTEMPTS):
             try:
                 home = self._home(message.request)
                 await self._send(home, message, END_TIMEOUT)
                 return
             except PeerError:
-                await asyncio.sleep(FAILED_PAUSE)
+                await asyncio.sleep(STORE_RETRY_DELAY)
 
     def _home(self, request):
         return self._members.home(self._shard(request), "claims")
@@ -136,32 +152,32 @@
             return await self.handle(message)
         return await self._peers.call(address_of(home), message, timeout)
 
-    # Home
+    # Home router
 
     async def handle(self, message):
         """Answer a Claim or ClaimEnd."""
-        place = self._place(self._shard(message.request))
+        state = self._shard_state(self._shard(message.request))
         self._wake.set()
         if isinstance(message, ClaimEnd):
-            place.queue.end(message)
+            state.queue.end(message)
             return Ack()
-        place.queue.claim(message)
+        state.queue.claim(message)
         future = asyncio.get_running_loop().create_future()
         self._answers.setdefault(message.run, []).append(future)
         return await future
 
-    def _place(self, shard):
-        return self._places.setdefault(shard, _Place(shard))
+    def _shard_state(self, shard):
+        return self._shards.setdefault(shard, _ShardState(shard))
 
     async def run(self):
         """Write queued claims until cancelled."""
         while True:
             now = self._clock.wall()
-            places = list(self._places.values())
-            for place in places:
-                self._step(place, now)
+            states = list(self._shards.values())
+            for state in states:
+                self._write_if_due(state, now)
             self._wake.clear()
-            dirty = any(place.queue.dirty for place in places)
+            dirty = any(state.queue.dirty for state in states)
             try:
                 await asyncio.wait_for(
                     self._wake.wait(), TICK if dirty else IDLE_TICK
@@ -169,62 +185,65 @@
             except asyncio.TimeoutError:
                 pass
 
-    def _step(self, place, now):
-        for message, answer in place.queue.expire(now):
-            place.queue.end(ClaimEnd(message.request, message.run, RELEASED))
-            self._finish(message, answer)
-        if place.task is not None and not place.task.done():
+    def _write_if_due(self, state, now):
+        for message, answer in state.queue.expire(now):
+            state.queue.end(ClaimEnd(message.request, message.run, RELEASED))
+            self._resolve(message, answer)
+        if state.task is not None and not state.task.done():
             return
-        if now < place.next_write or not place.queue.dirty:
+        if now < state.next_write or not state.queue.dirty:
             return
         if self._write_limiter.try_acquire(
-            place.queue.waiting, self._clock.steady()
+            state.queue.waiting, self._clock.steady()
         ):
-            place.next_write = now + self._settings.interval
-            place.task = self._tasks.spawn(self._write(place))
+            state.next_write = now + self._settings.interval
+            state.task = self._tasks.spawn(self._write(state))
 
-    async def _write(self, place):
+    async def _write(self, state):
         try:
-            if place.record is None:
-                await self._read(place)
+            if state.record is None:
+                await self._read(state)
             while True:
-                record = place.record.copy()
-                answers = place.queue.apply(record, self._clock.wall())
+                record = state.record.copy()
+                answers = state.queue.apply(record, self._clock.wall())
                 try:
-                    place.version = await self._store.put(
-                        claim_key(place.shard), record.pack(), place.version
+                    state.version = await self._store.put(
+                        claim_key(state.shard), record.pack(), state.version
                     )
                     break
                 except StoreConflict:
-                    await self._read(place)
+                    await self._read(state)
         except StoreError:
-            # A write may have taken effect: read before the next one.
-            place.record = None
-            place.next_write = self._clock.wall() + FAILED_PAUSE
+            # The write may have taken effect: read before the next one.
+            state.record = None
+            state.next_write = self._clock.wall() + STORE_RETRY_DELAY
             return
-        place.record = record
-        place.queue.written()
+        state.record = record
+        state.queue.written()
         for message, answer in answers:
-            self._finish(message, answer)
+            self._resolve(message, answer)
 
-    async def _read(self, place):
-        value = await self._store.get(claim_key(place.shard))
-        place.version = value.version
-        place.record = (
+    async def _read(self, state):
+        value = await self._store.get(claim_key(state.shard))
+        state.version = value.version
+        state.record = (
             ClaimShardRecord.unpack(value.data)
             if value.version
             else new_claim_shard()
         )
 
-    def _finish(self, message, answer):
+    def _resolve(self, message, answer):
         for future in self._answers.pop(message.run, []):
             if not future.done():
                 future.set_result(answer)
 
     async def stop(self, deadline):
-        """Write what is queued; return whether all was in time."""
+        """Wait until the queues are written; return whether they were.
+
+        :param deadline: wall time at which to stop waiting
+        """
         while self._clock.wall() < deadline:
-            if not any(place.queue.dirty for place in self._places.values()):
+            if not any(state.queue.dirty for state in self._shards.values()):
                 return True
             await asyncio.sleep(TICK)
         return False
--- a/rowanport/claims/shard.py
+++ b/rowanport/claims/shard.py
@@ -1,8 +1,8 @@
-"""The decisions of one claim shard at one home.
+"""The stored record of a claim shard, and the queue of changes to it.
 
-A claim is granted only once it is known to stand in the store.  Each
-operation is idempotent by request and run, so a write whose answer was lost
-is simply made again on what the store holds then.
+A claim is granted only once it is known to be in the store.  Each operation
+is idempotent by request and run, so after a lost answer the write is repeated
+on the record as the store has it then.
 """
 
 from ..errors import ErrorKind
@@ -22,7 +22,10 @@
 
 
 def apply_claim(record, message):
-    """Claim in the record; return the Claimed answer."""
+    """Add a claim unless the request has one; return the Claimed answer.
+
+    The answer names the run that holds the claim.
+    """
     known = record.claims.get(message.request)
     if known is None:
         known = ClaimEntry(
@@ -37,7 +40,7 @@
 
 
 def apply_end(record, message):
-    """Take in how a claimed run ended; only its own run may say so."""
+    """Record how a claimed run ended; ends of other runs are ignored."""
     known = record.claims.get(message.request)
     if known is None or known.run != message.run:
         return
@@ -48,29 +51,29 @@
 
 
 def prune(record, now):
-    """Forget claims whose time is over."""
+    """Remove claims that have expired."""
     for request, claim in list(record.claims.items()):
         if claim.expiry < now:
             del record.claims[request]
 
 
-class ClaimShard:
-    """Collects claims until they are written together."""
+class ClaimQueue:
+    """Queues claims and their ends, to be written together."""
 
     def __init__(self):
         self._waiting = {}
         self._ends = {}
-        self._writing = ()
-        self._ending = {}
+        self._claims_in_flight = ()
+        self._ends_in_flight = {}
 
     @property
     def waiting(self):
-        """Return whether a caller waits."""
+        """Return whether a claim waits to be written."""
         return bool(self._waiting)
 
     @property
     def dirty(self):
-        """Return whether there is anything to write."""
+        """Return whether anything is queued."""
         return bool(self._waiting or self._ends)
 
     def claim(self, message):
@@ -78,38 +81,42 @@
         self._waiting[message.run] = message
 
     def end(self, message):
-        """Queue a ClaimEnd; a claim not yet written is dropped."""
+        """Queue a ClaimEnd; drop the run's claim if it is still queued."""
         self._waiting.pop(message.run, None)
         self._ends[message.run] = message
 
     def apply(self, record, now):
-        """Apply all that is queued to a record about to be written.
+        """Apply the queue to a record that is about to be written.
 
-        :returns: (Claim, Claimed) pairs, valid once the write is known
+        :returns: (Claim, Claimed) pairs; they must not be sent before the
+            write is confirmed
         """
         prune(record, now)
-        self._writing = list(self._waiting.values())
-        self._ending = dict(self._ends)
+        self._claims_in_flight = list(self._waiting.values())
+        self._ends_in_flight = dict(self._ends)
         answers = [
             (message, apply_claim(record, message))
-            for message in self._writing
+            for message in self._claims_in_flight
         ]
-        for message in self._ending.values():
+        for message in self._ends_in_flight.values():
             apply_end(record, message)
         return answers
 
     def written(self):
-        """Forget what the last :meth:`apply` queued into the store."""
-        for message in self._writing:
+        """Remove what the last :meth:`apply` applied; it is now written."""
+        for message in self._claims_in_flight:
             self._waiting.pop(message.run, None)
-        for run, message in self._ending.items():
+        for run, message in self._ends_in_flight.items():
             if self._ends.get(run) is message:
                 del self._ends[run]
 
     def expire(self, now):
-        """Return (Claim, Refused) pairs of claims that waited too long.
+        """Remove claims that waited too long.
+
+        Such a claim may have been written nevertheless, so the caller has to
+        release it.
 
-        Such a claim may have been written all the same, so it is released.
+        :returns: (Claim, Refused) pairs
         """
         refused = []
         for message in list(self._waiting.values()):
--- a/test/test_claims.py
+++ b/test/test_claims.py
@@ -1,7 +1,7 @@
-"""Claims: at most one run of a request, whatever the store loses.
+"""Claims: at most one run of a request, even if store calls are lost.
 
-A state machine drives claim homes over one fake value; the oracle counts
-the runs of each request.
+A state machine drives claim queues of several home routers that write to one
+simulated store value, and counts the runs of each request.
 """
 
 import collections
@@ -17,7 +17,7 @@
 import pytest
 
 from rowanport.claims import shard
-from rowanport.claims.shard import ClaimShard
+from rowanport.claims.shard import ClaimQueue
 from rowanport.claims.shard import DONE
 from rowanport.claims.shard import new_claim_shard
 from rowanport.claims.shard import RELEASED
@@ -31,10 +31,10 @@
 
 
 class _Home:
-    """A claim home with its reading of the store."""
+    """A claim home router with its copy of the record."""
 
     def __init__(self):
-        self.queue = ClaimShard()
+        self.queue = ClaimQueue()
         self.record = None
         self.version = 0
         self.write = None
@@ -137,7 +137,8 @@
 
     @rule(seconds=strategies.sampled_from((0.1, 3.0, 30.0)))
     def wait(self, seconds):
-        # Far from the claims' expiry, past which deadlines forbid runs.
+        # Stay well before the expiry of claims: after it, no run can start as
+        # the deadlines of the requests have passed.
         self.now = min(self.now + seconds, LIFE / 2)
 
     @invariant()
@@ -150,12 +151,12 @@
     run_machine(ClaimMachine, 300)
 
 
-# Broken variants: each must be found
+# Deliberately broken variants, each of which the machine must detect
 
 
 @contextlib.contextmanager
 def claim_granted_before_the_write():
-    apply = ClaimShard.apply
+    apply = ClaimQueue.apply
 
     def hasty(self, record, now):
         answers = apply(self, record, now)
@@ -163,7 +164,7 @@
             answer.run = message.run
         return answers
 
-    with mock.patch.object(ClaimShard, "apply", hasty):
+    with mock.patch.object(ClaimQueue, "apply", hasty):
         yield
 
 
