--- a/test/machines.py
+++ b/test/machines.py
@@ -1,4 +1,4 @@
-"""How state machines are run: the same way every time, or at random."""
+"""Runs Hypothesis state machines, reproducibly or at random."""
 
 from unittest import mock
 
@@ -10,20 +10,23 @@
 
 
 def _draw_no_constant(*_args, **_options):
-    """Draw nothing that depends on which modules are loaded.
+    """Draw no constants, so that examples don't depend on loaded modules.
 
-    Hypothesis mixes the constants of all local modules into what it draws,
-    also into the choice from a fixed list.  So a new number anywhere gave each
-    machine other runs: two broken variants were found by their tests alone,
-    and not beside all others.
+    Hypothesis mixes constants of all local modules into what it draws, even
+    into the choice from a fixed list.  A new number anywhere changed the
+    examples of every machine: two broken variants were found when their tests
+    ran alone, but not together with all other tests.
     """
     return None
 
 
 def run_machine(machine, examples, steps, randomise=False):
-    """Run a state machine; raise what it finds.
+    """Run a state machine; raise the failure that it finds.
 
-    :param randomise: whether each run is another one
+    :param machine: the state machine class
+    :param examples: number of examples
+    :param steps: number of steps in each example
+    :param randomise: whether to draw different examples in each run
     """
     options = settings(
         max_examples=examples,
--- a/test/test_ledger.py
+++ b/test/test_ledger.py
@@ -1,8 +1,8 @@
-"""The ledger under cuts, kills, freezes, outages and lost answers.
+"""The ledger under network cuts, kills, pauses, outages and lost answers.
 
-A state machine drives the routers' own code on given time; the oracle in
-test.world counts.  Each mechanism has a deliberately broken variant that
-the machine must find, so that the proof is seen to fail.
+State machines drive the routers' real code in virtual time, and the oracle in
+test.world checks invariants.  Each mechanism has a deliberately broken variant
+that the machine must detect, to show that the test can fail.
 """
 
 import asyncio
@@ -170,13 +170,16 @@
 
 
 def run_machine(machine, examples, randomise=False):
-    """Run a machine; raise what it finds."""
+    """Run a machine; raise the failure that it finds."""
     machines.run_machine(machine, examples, STEPS, randomise)
 
 
 @pytest.fixture(autouse=True)
 def slow_ticks():
-    """Let loops tick less often, which saves time and changes no order."""
+    """Make the keepers' loops run less often.
+
+    This speeds up the tests and does not change the order of events.
+    """
     with mock.patch.object(keeper, "TICK", 0.05):
         yield
 
@@ -185,7 +188,7 @@
     run_machine(LedgerMachine, EXAMPLES)
 
 
-# Broken variants: each must be found
+# Deliberately broken variants, each of which the machine must detect
 
 
 @contextlib.contextmanager
@@ -334,8 +337,8 @@
     store = lose_answers = cut_store = cut = freeze = None
     network = kill = stop = top_up = retry = None
 
-    # Runs that outlast a recovery, and waits long enough for one: a recovery
-    # begins 5 s after a suspicion.
+    # Runs last longer than a recovery takes, and waits are long enough for
+    # one: a recovery begins 5 s after a router is suspected.
 
     @rule(index=indexes, cost=strategies.integers(5, 200))
     def request(self, index, cost):
@@ -432,7 +435,7 @@
     store = lose_answers = cut_store = cut = freeze = suspect = heal = None
     network = stop = top_up = burst = retry = None
 
-    # Longest run and longest waits before it, and the time to settle it.
+    # Covers the longest run, the longest waits before it and its settlement.
     QUIET_SECONDS = 15.0
 
     @initialize(seed=strategies.integers(0, 10**6))
@@ -482,7 +485,7 @@
     async def _may_die(self, router, dies):
         if dies:
             self._kill(router, True)
-            # Lets the task notice that it was cancelled with its router.
+            # Let this task be cancelled together with its router.
             await asyncio.sleep(0)
 
     def _kill(self, router, replace):
@@ -596,7 +599,8 @@
 
 
 def test_a_recovery_is_refused_while_more_is_owed_than_granted():
-    # The dead holder lent out of borrowed tokens, still the lender's grant.
+    # The dead holder had lent borrowed tokens that are still in the lender's
+    # grant, so more is owed than its own grant holds.
     shard = record.new_shard()
     record.add_budget(shard, BUDGET, 100)
     shard.budgets[BUDGET].grants = {"dead": 30, "lender": 50}
@@ -612,8 +616,8 @@
 
 
 def test_a_witness_refuses_what_its_attestation_did_not_count():
-    # Found by the machine: a reservation was set aside before its home was
-    # recovered, and reached its witness only after that had attested.
+    # A reservation made before its home router was recovered reached the
+    # witness only after the witness had attested.  Found by the state machine.
     book = ReservationBook("cell/10.0.0.1:1/a", str)
     late = Witness("request", "late", BUDGET, 60, 9.0, "dead~1", "")
     early = Witness("request", "early", BUDGET, 40, 9.0, "dead~1", "")
@@ -624,9 +628,9 @@
 
 
 def test_a_witness_that_was_paused_is_told_of_the_end_once_it_is_back():
-    # Found by test_router beside load: the witness kept reservations that
-    # had ended while it was taken for dead, and a home that left later made
-    # it presume them spent.
+    # A witness kept reservations that had ended while it seemed dead, and
+    # presumed them spent when the home router left later.  Found by
+    # test_router under load.
     world = World(seed=1)
     try:
         routers = [world.add_router("north") for _ in range(3)]
@@ -659,12 +663,12 @@
 
 
 def test_what_a_home_holds_for_a_dead_entry_is_not_called_settled():
-    # A router was killed while the other one of its cell was home of the
-    # shard.  The home took it for dead seconds later and then billed its runs
-    # as the engines told.  Until then no router counted them as unsettled: the
-    # dead one's book was gone, and the home counted its own book only.  Who
-    # waited for 0 unsettled read the ledger too early: 378 served tokens (two
-    # runs) on no bill 6.3 s after the kill, none missing 5 s later.
+    # An entry router was killed while the other router of its cell was the
+    # home.  The home router considers it dead only seconds later, and then
+    # settles its runs.  Until then no router counted them as unsettled, as the
+    # home router counted only its own book.  The ledger then seemed settled
+    # too early: 6.3 s after a kill 378 served tokens (two runs) were not
+    # billed yet; 5 s later they were.
     world = World(seed=1)
     try:
         _home, entry = add_cell(world, "north", 2)
@@ -684,12 +688,11 @@
 
 
 def test_a_home_whose_witness_is_slow_leaves_no_run_unbilled():
-    # The witness of a home did not answer within 0.3 s and was suspected.  It
-    # was the only other router of the cell, so the next try set tokens aside
-    # for the home's own entry without any witness.  When that router was
-    # killed before the run ended, nobody alive knew of the run: its tokens
-    # were on no bill for good.  Found by reading, after a killed router's
-    # bills had gone missing beside load.
+    # The witness, the only other router of the cell, did not answer within 0.3
+    # s and was suspected, so the next attempt reserved tokens without a
+    # witness.  When the router was killed before the run ended, no live router
+    # knew of the run, and its tokens were never billed.  Found in the code
+    # after bills of a killed router were missing under load.
     world = World(seed=1)
     try:
         home, witness = add_cell(world, "north", 2)
@@ -711,10 +714,10 @@
 
 
 def test_two_kills_one_after_the_other_leave_no_run_unbilled():
-    # The witness of a home was killed, and seconds later the home itself,
-    # while a run that had begun before was still under way.  The witness was
-    # chosen once, at the reservation, so nobody alive knew of the run by
-    # then: its tokens were on no bill for good.  Found by reading.
+    # The witness was killed, and seconds later the home router, while a run
+    # was still in progress.  The witness was chosen only once, at the
+    # reservation, so no live router knew of the run, and its tokens were never
+    # billed.
     world = World(seed=1)
     try:
         home, witness = add_cell(world, "north", 2)
@@ -742,11 +745,11 @@
 
 
 def test_a_killed_witness_of_another_cell_does_not_hold_up_the_books():
-    # A router alone in its cell had a witness of another cell, which was
-    # killed.  Its runs were billed, but it went on to count 11 of them as
-    # unsettled for the minute in which members remember the dead one, as it
-    # could not tell it their end: test_router waited for 33 s in vain, in 5
-    # of 23 runs of the whole file.
+    # A router alone in its cell had a witness in another cell, which was
+    # killed.  Its runs were billed, but 11 of them stayed unsettled for the
+    # minute in which the membership remembers the dead witness, as the witness
+    # could not be told of their end.  test_router then timed out after 33 s,
+    # in 5 of 23 runs of the whole file.
     world = World(seed=1)
     try:
         (home,) = add_cell(world, "north", 1)
@@ -766,9 +769,9 @@
 
 
 def test_a_dead_witness_that_missed_a_release_does_not_hold_up_the_books():
-    # The same, for a reservation that was given back because its witness did
-    # not answer: 1 and 2 ends that a killed router was never told kept
-    # test_router waiting for 31 s and 32 s, in 2 of 6 runs of the whole file.
+    # The same for a reservation that was released as its witness did not
+    # answer.  One and two unconfirmed ends at a killed router kept test_router
+    # waiting for 31 s and 32 s, in 2 of 6 runs of the whole file.
     world = World(seed=1)
     try:
         (home,) = add_cell(world, "north", 1)
@@ -788,25 +791,25 @@
 
 
 def reserve(world, router, seconds=30.0):
-    """Set 50 tokens aside at a router without starting a run."""
+    """Reserve 50 tokens at a router without starting a run."""
     deadline = world.loop.now + seconds
     asked = router.client.reserve("request", BUDGET, 50, deadline)
     return world.spawn(router.address, asked)
 
 
-# Seconds within which the books have to close after a kill.
+# Seconds after a kill within which all reservations have to be settled.
 CLOSE_BOUND = 5.0
 
 
 def start(world, router, entry, upstream="engine"):
-    """Record where a run goes; return whether that was recorded."""
+    """Record the upstream of a run; return whether it was recorded."""
     asked = world.spawn(router.address, router.client.start(entry, upstream))
     world.advance(0.5)
     return asked.result()
 
 
 def check_nothing_taken(world, killed):
-    """Kill a router; see that nothing is taken of what has not run."""
+    """Kill a router; check that no tokens are spent for an unstarted run."""
     world.kill(killed)
     world.advance(CLOSE_BOUND)
     assert not world.unsettled
@@ -816,8 +819,8 @@
 
 @pytest.mark.parametrize("own", (False, True), ids=("home", "witness"))
 def test_a_dead_entrys_run_that_waited_for_its_turn_costs_nothing(own):
-    # The worst case of a run that had not started was taken for good when its
-    # router was killed, 10 s later, though it was retried and billed as well.
+    # 10 s after a router was killed, all reserved tokens of a run that had not
+    # started were debited for good, although the run was retried and billed.
     world = World(seed=1)
     try:
         home, other = add_cell(world, "north", 2)
@@ -833,7 +836,7 @@
 
 @pytest.mark.parametrize("own", (False, True), ids=("home", "witness"))
 def test_a_dead_entrys_run_that_its_engine_never_got_costs_nothing(own):
-    # The same for a router that is killed just before the first byte goes out.
+    # The same for a router that is killed just before the first byte is sent.
     world = World(seed=1)
     try:
         home, other = add_cell(world, "north", 2)
@@ -851,8 +854,9 @@
 @pytest.mark.parametrize("own", (False, True), ids=("home", "witness"))
 @pytest.mark.parametrize("remembered", (False, True))
 def test_a_run_that_may_have_been_forgotten_is_presumed_spent(remembered, own):
-    # A plain service keeps no list of runs, and an engine may have been
-    # restarted by the time that it is asked: neither shows that nothing ran.
+    # A plain service keeps no list of runs, and an engine may have restarted
+    # before it is asked, so not knowing the run does not show that it never
+    # ran.
     world = World(seed=1)
 
     async def resolve(reservation):
@@ -879,8 +883,9 @@
 
 @pytest.mark.parametrize("own", (False, True), ids=("home", "witness"))
 def test_a_run_whose_reservation_was_given_back_is_not_sent(own):
-    # A router that is cut off looks dead, and what it had not started is given
-    # back.  It must not send that run afterwards: its tokens may be another's.
+    # A router that is cut off seems dead, and its reservations without a
+    # started run are released.  It must not send such a run afterwards, as the
+    # tokens may be reserved by another request.
     world = World(seed=1)
     try:
         home, other = add_cell(world, "north", 2)
@@ -904,8 +909,8 @@
 
 @pytest.mark.parametrize("own", (False, True), ids=("home", "witness"))
 def test_a_router_that_is_back_while_its_engine_is_asked_keeps_its_run(own):
-    # Found by reading: the time since which it seemed dead was gone by the
-    # time that the engine answered, and what was to settle the run failed.
+    # orphaned_at was reset while the engine was being asked, and the task that
+    # settles the run failed on it.  Found by reading the code.
     world = World(seed=1)
 
     async def resolve(reservation):
@@ -934,8 +939,8 @@
 
 
 def test_a_start_that_its_witness_does_not_record_is_not_sent():
-    # The witness died while the run waited for its turn.  Were it sent all the
-    # same, and its router killed, nobody alive would know of the run.
+    # The witness died while the run was queued.  If the run was sent anyway
+    # and its router was killed, no live router would know of the run.
     world = World(seed=1)
     try:
         home, witness = add_cell(world, "north", 2)
@@ -950,9 +955,10 @@
 
 
 def presume_of_one_cut_off(world, own):
-    """See a reservation presumed whose router only looks dead.
+    """Let a reservation be presumed spent whose router only seems dead.
 
-    :param own: whether its home is that router, and a witness presumes
+    :param own: whether that router is also the home router, so that the
+        presumption is made by the witness
     :returns: the router, connected again, and the reservation
     """
     home, other = add_cell(world, "north", 2)
@@ -971,9 +977,9 @@
 
 @pytest.mark.parametrize("own", (False, True), ids=("home", "witness"))
 def test_a_bill_takes_the_place_of_what_was_presumed_of_its_run(own):
-    # A router that is cut off from its home or witness looks dead to them, and
-    # its engine does not know the run yet.  The run then begins and is billed:
-    # what was presumed spent has to go, or the budget pays twice.
+    # A router that is cut off from its home or witness seems dead to them, and
+    # its engine does not know the run yet.  The run then starts and is billed.
+    # The presumption must be undone, or the budget is debited twice.
     world = World(seed=1)
     try:
         entry, reserved = presume_of_one_cut_off(world, own)
@@ -992,8 +998,8 @@
 
 @pytest.mark.parametrize("own", (False, True), ids=("home", "witness"))
 def test_a_release_gives_back_what_was_presumed_of_its_run(own):
-    # The same, but that the run never began: a router that was paused before
-    # the first byte refuses the request, and gives back its reservation.
+    # The same, but the run never starts: a router that was paused before the
+    # first byte refuses the request and releases its reservation.
     world = World(seed=1)
     try:
         entry, reserved = presume_of_one_cut_off(world, own)
@@ -1009,13 +1015,13 @@
 
 
 def test_a_home_that_was_silent_learns_of_a_release_once_it_is_back():
-    # A home froze with Reserves of another router in its socket.  That router
-    # took the home for dead, gave them up, and dropped the releases, as a dead
-    # home needs none.  The home woke, took the Reserves in and held the tokens
-    # for good, as their entry was alive.  In 2 of 4 runs of test_router the
-    # froze test waited 30 s in vain for two reservations of 153 tokens at the
-    # router that had been frozen: "role: home, reason: its entry is alive,
-    # upstream: '', age: 37.1, seconds_left: -11.8".
+    # A home router was paused with Reserve messages of another router in its
+    # socket.  That router considered it dead and dropped the releases.  After
+    # it resumed, the home router handled the messages and kept the tokens
+    # reserved forever, as their entry router was alive.  In 2 of 4 runs of
+    # test_router a test timed out after 30 s with two reservations of 153
+    # tokens at the router that had been paused: "role: home, reason: its entry
+    # is alive, upstream: '', age: 37.1, seconds_left: -11.8".
     world = World(seed=1)
     try:
         home, entry = add_cell(world, "north", 2)
@@ -1038,8 +1044,9 @@
 
 @pytest.mark.parametrize("wakes", (False, True), ids=("killed", "paused"))
 def test_what_a_recovered_grant_kept_for_its_runs_comes_back(wakes):
-    # The grant of a dead home was trimmed to the worst case of the runs that
-    # were still under way.  They used less, and nobody gave back the rest.
+    # The grant of a dead home router was reduced to the reserved tokens of the
+    # runs still in progress.  They used fewer, and the rest was never
+    # returned.
     world = World(seed=1)
     try:
         home, entry = add_cell(world, "north", 2)
@@ -1066,9 +1073,10 @@
 
 
 def test_a_home_that_was_recovered_while_it_was_paused_refuses_nobody():
-    # A home was paused until another router had recovered its grants.  Until
-    # it read that in the store it granted from them.  Nobody may use that, so
-    # each request was refused after four tries at the same home.
+    # A home router was paused until another router had recovered its grants,
+    # and went on to reserve from them until it next read the store.  Such
+    # reservations must not be used, so each request was refused after four
+    # attempts at the same home router.
     world = World(seed=1)
     try:
         home, entry = add_cell(world, "north", 2)
@@ -1090,8 +1098,8 @@
 
 
 def test_what_waits_at_a_home_that_learns_of_its_recovery_is_served():
-    # The same home, asked by its own callers as it woke: what waits for tokens
-    # of a grant that is gone was refused, as the home had been recovered.
+    # The same home router, for requests of its own callers after it resumed:
+    # reservations that waited for tokens of the lost grant were refused.
     world = World(seed=1)
     try:
         home, _other = add_cell(world, "north", 2)
@@ -1116,10 +1124,10 @@
 
 
 def test_a_caller_that_goes_away_while_it_waits_for_tokens_leaves_none():
-    # A caller's connection closed while its reservation was asked for.  The
-    # call was cancelled, and with it all that would have given the tokens
-    # back: the book counted it as unsettled for good, the home held it for
-    # good, and a planned stop waited for it.  Found by reading.
+    # A caller disconnected while its reservation was being made.  The call was
+    # cancelled, and nothing released the tokens: the entry router counted the
+    # reservation as unsettled forever, the home router kept it, and a planned
+    # stop waited for it.  Found by reading the code.
     world = World(seed=1)
     try:
         home, entry = add_cell(world, "north", 2)
@@ -1144,9 +1152,9 @@
 
 
 def test_operators_are_told_what_an_unsettled_reservation_waits_for():
-    # Books that did not settle were shown as a number, and four causes of it
-    # were told apart only once each router said what it holds, for whom, since
-    # when and why.
+    # A plain count of unsettled reservations did not show which of four causes
+    # kept them unsettled.  So each router lists what it holds, for which peer,
+    # since when and why.
     world = World(seed=1)
     try:
         home, entry = add_cell(world, "north", 2)
@@ -1178,9 +1186,9 @@
 
 
 def test_a_run_that_is_billed_is_not_presumed_spent_besides():
-    # A witness that was not told of a reservation's end, and whose engine
-    # forgot the run, took the worst case from the budget although the same
-    # reservation stood in the shard with its bill.  Found by reading.
+    # A witness that was not told of a reservation's end, and whose engine had
+    # lost the run, presumed all reserved tokens spent although the reservation
+    # was already billed in the shard.  Found by reading the code.
     shard = record.new_shard()
     record.add_budget(shard, BUDGET, 100)
     shard.budgets[BUDGET].grants = {"home~1": 60}
@@ -1198,11 +1206,10 @@
 
 
 def test_a_home_whose_witness_died_does_not_end_its_own_runs():
-    # A home takes the witness of its own entry's reservation for the entry.
-    # When the witness died, the home asked the engine about its own run as if
-    # nobody followed it any more, and past the deadline had it cancelled: the
-    # caller's stream was cut although nothing was wrong with its router.
-    # Found by reading.
+    # A home router records the witness as the entry of its own reservations.
+    # When the witness died, it treated its own run as an orphan, and cancelled
+    # it after the deadline: the caller's stream was cut although its router
+    # was fine.  Found by reading the code.
     world = World(seed=1)
     asked = []
 
@@ -1226,8 +1233,8 @@
 
 
 def test_a_bill_before_its_loan_is_written_keeps_the_sum_true():
-    # Found by the machine: more was taken from a grant than it had, and
-    # what was taken beyond it came into being.
+    # More was debited from a grant than it had, and the difference was created
+    # out of nothing.  Found by the state machine.
     shard = record.new_shard()
     record.add_budget(shard, BUDGET, 100)
     budget = shard.budgets[BUDGET]
@@ -1258,10 +1265,10 @@
 
 
 def test_a_holder_lists_no_entry_without_a_name():
-    # A home that wrote the bill of another, dead home listed "" among its
-    # entries for a second or more.  Had it died then, each recovery of its
-    # grants would have failed on the address of "", and the grants would
-    # have been stranded for good.  Found by reading.
+    # A home router that wrote the bill of a dead one listed "" among its
+    # entries for a second or more.  If it died then, every recovery of its
+    # grants would fail on the address of "", and the grants would never be
+    # freed.  Found in the code.
     shard = record.new_shard()
     record.add_budget(shard, BUDGET, 100)
     holder_ = Holder("me", 0, Sizing(), iter("abc").__next__)
--- a/test/world.py
+++ b/test/world.py
@@ -1,6 +1,7 @@
-"""A small world for ledger tests: fake store, network, engines, routers.
+"""Simulated store, network, engines and routers for ledger tests.
 
-The routers' own shells run in it, on given time; an oracle counts.
+The real ledger code of the routers runs in it, in virtual time.  An oracle
+checks the record after each write and the bills at the end.
 """
 
 import asyncio
@@ -42,9 +43,9 @@
 
 METRICS = Metrics()
 FAR = 100000.0
-# Seconds for which members remember a router that is gone.
+# Seconds for which the membership remembers a router that has ended.
 REMEMBERED = 60.0
-# A peer that is gone, or a change refused because the store was out.
+# A peer that cannot be reached, or a change refused during a store outage.
 EXPECTED = (PeerError, UserError)
 
 
@@ -57,7 +58,7 @@
 
 
 class FakeStore(Store):
-    """One store; each router has its own view that can be cut."""
+    """One router's connection to the shared store, which can be cut."""
 
     def __init__(self, world, name):
         self._world = world
@@ -101,7 +102,7 @@
 
 
 class FakePeers:
-    """Calls between routers, with losses, repeats and cuts."""
+    """Calls between routers, which can be lost, repeated or cut."""
 
     def __init__(self, world, name):
         self._world = world
@@ -137,7 +138,7 @@
 
 
 class FakeMembers:
-    """Who lives, as one router believes."""
+    """The membership as seen by one router."""
 
     def __init__(self, world, incarnation):
         self._world = world
@@ -182,11 +183,11 @@
         )
 
     def is_replaced(self, incarnation):
-        # No address is used twice in this world.
+        # No address is used twice in this simulation.
         return False
 
     def suspect(self, incarnation):
-        """Believe what a timeout says until the next heartbeat."""
+        """Treat a router as dead for 1 s, until its next heartbeat."""
         self._suspected[incarnation] = self._world.loop.now + 1.0
 
     def others(self):
@@ -275,12 +276,12 @@
 
 
 class World:
-    """Everything, with an oracle that merely counts."""
+    """The whole simulation, with an oracle that checks invariants."""
 
     def __init__(self, seed=0, settings=None):
         self.loop = VirtualLoop()
         self.failures = []
-        self.loop.set_exception_handler(self._note_failure)
+        self.loop.set_exception_handler(self._record_failure)
         self.random = random.Random(seed)
         self.settings = settings or ledger_settings()
         self.values = {}
@@ -295,7 +296,7 @@
         self.suspected = set()
         self.remembered = {}
         self.ended = set()
-        # What to call as an engine gets a request, by request.
+        # Function to call when an engine receives a request, by request.
         self.on_first_byte = {}
         self.ids = 0
         self.number = 0
@@ -310,17 +311,17 @@
             FakeStore(self, "operator"), 1, "tester", LoopClock(self.loop)
         )
 
-    # Plumbing
+    # Tasks and network
 
-    def _note_failure(self, _loop, context):
+    def _record_failure(self, _loop, context):
         error = context.get("exception")
         if error is not None and not isinstance(error, EXPECTED):
             self.failures.append(error)
 
-    def _note_task(self, task):
+    def _check_task(self, task):
         if not task.cancelled() and task.exception() is not None:
             context = {"exception": task.exception()}
-            self._note_failure(self.loop, context)
+            self._record_failure(self.loop, context)
 
     def new_id(self):
         self.ids += 1
@@ -333,11 +334,11 @@
         task = self.loop.create_task(coroutine)
         self.tasks[owner].add(task)
         task.add_done_callback(self.tasks[owner].discard)
-        task.add_done_callback(self._note_task)
+        task.add_done_callback(self._check_task)
         return task
 
     async def run_at(self, owner, coroutine):
-        """Run a coroutine so that it ends with its router."""
+        """Run a coroutine that is cancelled when its router is killed."""
         task = self.spawn(owner, coroutine)
         try:
             return await asyncio.shield(task)
@@ -383,12 +384,16 @@
         self.spawn("operator", coroutine)
 
     def kill(self, router, clean=False):
-        """End a router; ``clean`` after a planned stop strands nothing."""
+        """End a router.
+
+        :param clean: whether this is the end of a planned stop, after which
+            no tokens may be lost
+        """
         self.killed = self.killed or not clean
         del self.routers[router.address]
         self.ended.add(router.address)
         self.remembered[router.incarnation] = self.loop.now + REMEMBERED
-        # What it had not brought into the shard may stay off any bill.
+        # Runs whose bills it had not written yet may stay unbilled.
         self.survivors -= {entry.request for entry in router.book}
         for holder in router.keeper.places().values():
             for account in holder.accounts():
@@ -414,13 +419,13 @@
         self.spawn(router.address, leave())
 
     def request(self, router, request, budget, cost, seconds, run=None):
-        """Start a request at a router; the run outlives the router."""
+        """Start a request at a router; its run outlives the router."""
         task = self._request(router, request, budget, cost, seconds, run)
         return self.spawn(router.address, task)
 
     async def _request(self, router, request, budget, cost, seconds, name):
         if router.leaving:
-            # A stopping router refuses at its callers' side.
+            # A stopping router refuses new requests of its callers.
             self.refused[ErrorKind.STOPPING] += 1
             return
         deadline = self.loop.now + 30.0
@@ -435,14 +440,14 @@
         await self.run_reserved(router, entry, name, seconds)
 
     async def run_reserved(self, router, entry, name, seconds, first_byte=0.0):
-        """Start a run as a Runner does, let it end and bill it.
+        """Start a run as a Runner does, wait for its end and settle it.
 
-        :param name: as of the engine that it is sent to, None for a new one
-        :param first_byte: seconds from its recorded start to its first byte
+        :param name: name of the run and its engine, None for a new one
+        :param first_byte: seconds from the recorded start to the first byte
         """
         name = name or self.new_id()
         request, budget, cost = entry.request, entry.budget, entry.tokens
-        # An engine has one run of a request, so each run has its engine.
+        # An engine has at most one run of a request, so each run has its own.
         upstream = f"{request}.{name}"
         while not await router.client.start(entry, upstream):
             router.client.release(entry.reservation)
@@ -482,7 +487,7 @@
         self.check_served()
 
     async def resolve(self, reservation):
-        """Say what the engine knows of a dead entry's run."""
+        """Return what the engine knows of the run of a dead router."""
         for run in self.runs.values():
             if run.run == reservation.upstream:
                 return (run.run, run.tokens) if run.finished else None
@@ -501,7 +506,7 @@
 
     @property
     def unsettled(self):
-        """Return how many reservations operators are shown as not yet safe."""
+        """Return how many unsettled reservations operators are shown."""
         routers = self.routers.values()
         return sum(
             router.client.unbilled + router.keeper.unsettled
@@ -510,7 +515,7 @@
 
     @property
     def spent(self):
-        """Return the tokens that the shard has accounted for, by budget."""
+        """Return the tokens debited in the shard as spent, by budget."""
         return {
             name: budget.settled + budget.absorbed
             for name, budget in self.record.budgets.items()
@@ -522,7 +527,7 @@
         return read_shard(Value(data, version))
 
     def check_record(self):
-        """Whatever is written: spent and granted never exceed the total."""
+        """Check that spent and granted tokens never exceed the total."""
         for name, budget in self.record.budgets.items():
             used = budget.settled + budget.absorbed
             used += sum(budget.grants.values())
@@ -532,7 +537,7 @@
         self.check_cover()
 
     def check_cover(self):
-        """Every reservation that may run is covered by granted tokens."""
+        """Check that grants cover every reservation whose run may start."""
         record = self.record
         billed = {bill.reservation for bill in record.bills.values()}
         owed = collections.Counter()
@@ -553,16 +558,16 @@
                 self.fail(f"{holder}: {tokens} owed, {granted} granted")
 
     def _may_run(self, entry):
-        """Return whether a run is under way on a reservation, or may begin.
+        """Return whether a reservation's run is in progress or may start.
 
-        One that has not started needs whoever was told of it to record that.
+        To start, a run needs its witness or home router to record the start.
         """
         if not entry.usable or entry.upstream:
             return entry.usable
         return not self._given_back(entry)
 
     def _given_back(self, entry):
-        """Return whether who would record a start gave a reservation back."""
+        """Return whether the witness or home router released a reservation."""
         peer = self.routers.get(address_of(entry.witness or entry.home))
         if peer is None:
             return False
@@ -574,7 +579,7 @@
         ]
 
     def check_write(self, before, writer):
-        """A router's write carries just one batch, and no batch twice."""
+        """Check that a router's write has exactly one batch, the next one."""
         if writer not in self.routers:
             return
         after = self.record
@@ -583,8 +588,8 @@
             for name, holder in after.holders.items()
             if holder != before.holders.get(name)
         ]
-        # One that was recovered goes with a batch of whoever recovered it,
-        # which may be its own router's later holder.
+        # A recovered holder is removed by a batch of the recovering holder,
+        # which may be a later holder of the same router.
         raised += [
             name
             for name in before.holders
@@ -592,7 +597,7 @@
         ]
         own = [name for name in raised if address_of(name) == writer]
         if not own and after.bills != before.bills:
-            # A holder without a grant wrote a dead one's bill and left.
+            # A holder without a grant wrote the bill of a dead one and left.
             return
         if len(own) != 1:
             self.fail(f"{writer} wrote {len(own)} batches")
@@ -608,16 +613,16 @@
                 self.fail(f"{name} is overspent")
 
     def fail(self, text):
-        """Note a failure even where a task would swallow it."""
+        """Record a failure, even in a task whose exceptions get lost."""
         self.failures.append(AssertionError(text))
 
     def check(self):
-        """Raise the first failure that was noted."""
+        """Raise the first recorded failure."""
         if self.failures:
             raise self.failures[0]
 
     def check_requests(self):
-        """What was served of each request is in its name, to the token."""
+        """Check that exactly the served tokens of each request are debited."""
         expected = collections.Counter()
         for run in self.runs.values():
             if run.finished:
@@ -632,7 +637,7 @@
             )
 
     def check_grants(self):
-        """No grant is left that could be taken back."""
+        """Check that no recoverable grant is left."""
         for name, budget in self.record.budgets.items():
             for holder, tokens in budget.grants.items():
                 assert not self._is_left_over(
@@ -640,9 +645,10 @@
                 ), f"{name}: {tokens} tokens are left to {holder}"
 
     def _is_left_over(self, holder):
-        """Return whether a holder is gone and others of its cell attest.
+        """Return whether a holder has ended and its grants are recoverable.
 
-        Nobody can for one that was alone, as it listed itself as an entry.
+        They are not if it listed itself as an entry, being the only router of
+        its cell: no other router can attest then.
         """
         record = self.record
         if holder in record.expelled:
@@ -655,7 +661,7 @@
         return cell_of(holder) in cells
 
     def check_end(self):
-        """Everything healed: each request is billed once, and truly."""
+        """Check after all faults are healed that requests are billed once."""
         record = self.record
         tokens = {run.run: run.tokens for run in self.runs.values()}
         billed = collections.Counter()
