--- a/rowanport/prepaid/refill.py
+++ b/rowanport/prepaid/refill.py
@@ -1,4 +1,4 @@
-"""Keeps one router's accounts filled from the store, and its limits fresh."""
+"""Keeps one router's accounts filled from the store and its limits current."""
 
 import asyncio
 
@@ -10,25 +10,25 @@
 from .allowance import Allowances
 from .allowance import Limit
 from .allowance import RENEW_SECONDS
-from .drawer import BATCH_LIMIT
-from .drawer import Drawer
+from .batches import BATCH_LIMIT
+from .batches import BatchWriter
 
 LOG = structlog.get_logger(__name__)
 
-# Seconds for which the store is not asked again for a budget that it had too
-# little of.
-STORE_DRY_SECONDS = 2.0
-# Shortest time in seconds between two records that only widen limits.
+# Seconds without further draws on a budget after the store had too few of its
+# tokens.
+STORE_EMPTY_SECONDS = 2.0
+# Minimum time in seconds between two records that only raise limits.
 WIDEN_PAUSE = 0.35
-# Seconds after the start before anything is drawn that no request waits for:
-# by the first a router knows whether the fleet is small, by the second most
-# routers of a fleet of a hundred.
+# Seconds after the start before the first draw for which no request waits, in
+# small and large fleets.  After the first a router knows whether the fleet is
+# small, after the second it knows most routers of a fleet of a hundred.
 FIRST_DRAW_SECONDS = 0.4
 LARGE_DRAW_SECONDS = 4.0
 
 
 class Refill:
-    """Decides what to draw and to give back, and when to write limits.
+    """Decides what to draw and to return, and when to write limits.
 
     :param incarnation: this router's incarnation
     :param accounts: the Accounts by budget, which it changes
@@ -36,22 +36,22 @@
     :param holders: the Holders
     :param clock: a Clock
     :param clocks: the FleetClocks
-    :param news: the RecordNews
+    :param notifier: the RecordNotifier
     """
 
     def __init__(
-        self, incarnation, accounts, store, holders, clock, clocks, news
+        self, incarnation, accounts, store, holders, clock, clocks, notifier
     ):
         self._address = address_of(incarnation)
         self._accounts = accounts
         self._holders = holders
         self._clock = clock
-        self._news = news
+        self._notifier = notifier
         self._totals = ({}, 0)
-        self._dry_until = {}
+        self._store_empty_until = {}
         self._drawn = set()
         self._allowances = Allowances()
-        self._drawer = Drawer(
+        self._writer = BatchWriter(
             incarnation,
             self._address,
             store,
@@ -59,111 +59,114 @@
             clock,
             clocks,
         )
-        self._drawer.on_record = self._note_record
+        self._writer.on_record = self._announce_record
         self._started = clock.steady()
         self._stopping = False
-        self._giving_back = False
+        self._returning = False
         self._released = asyncio.Event()
 
     @property
     def stopping(self):
-        """Return whether nothing more is drawn."""
+        """Return whether the router stops drawing."""
         return self._stopping
 
     @property
     def released(self):
-        """Return the event that all that is held may go out."""
+        """Return the event that is set once all held tokens may leave."""
         return self._released
 
     def is_borrower(self, name):
-        """Return whether what this router holds of a budget is borrowed."""
+        """Return whether this router's tokens of a budget are borrowed."""
         return not self._holders.is_holder(name) and name not in self._drawn
 
     def set_totals(self, totals, version):
-        """Take over totals by budget, and their configuration's version."""
+        """Apply totals by budget, and their configuration's version."""
         for name, total in totals.items():
             if total != self._totals[0].get(name):
-                self._dry_until.pop(name, None)
+                self._store_empty_until.pop(name, None)
         self._totals = (totals, version)
 
-    def room(self, account):
-        """Return the tokens of an account that may go out, None for all."""
-        return self._allowances.room(account, self._clock.steady())
+    def headroom(self, account):
+        """Return the tokens that limits let out, None for any number."""
+        return self._allowances.headroom(account, self._clock.steady())
 
-    def room_at(self, account, tokens):
-        """Return the steady time from which limits let some tokens go."""
+    def allowed_at(self, account, tokens):
+        """Return the monotonic time from which limits let tokens out."""
         now = self._clock.steady()
-        return self._allowances.room_at(account, tokens, now)
+        return self._allowances.allowed_at(account, tokens, now)
 
-    def is_dry(self, name):
-        """Return whether the store lately had too little of a budget."""
-        return self._clock.steady() < self._dry_until.get(name, 0.0)
+    def is_store_empty(self, name):
+        """Return whether the store recently had too few of its tokens."""
+        return self._clock.steady() < self._store_empty_until.get(name, 0.0)
 
     def release(self):
-        """Let everything that is held go out, and draw no more."""
+        """Stop drawing, and write limits that let out all held tokens."""
         self._stopping = True
 
-    def give_back(self):
-        """Give back everything that is held, and what comes in from now on."""
-        self._giving_back = True
+    def return_all(self):
+        """Return all held tokens, and those received from now on."""
+        self._returning = True
 
     @property
-    def is_giving_back(self):
-        """Return whether there is anything left to give back."""
-        if not self._giving_back:
+    def is_returning(self):
+        """Return whether there is anything left to return."""
+        if not self._returning:
             return False
-        return self._drawer.batch is not None or bool(self._last_wishes())
+        return self._writer.batch is not None or bool(self._plan_returns())
 
     # Steps
 
     async def sync(self):
-        """Bring the store and the accounts one step on.
+        """Recover the earlier run if not done, then write a batch if due.
 
-        :returns: whether a batch stands in the store that did not before
+        :returns: whether a batch was committed
         :raises StoreBusy: the store refused; nothing changed
-        :raises StoreError: a batch's fate is unknown; it goes out again
+        :raises StoreError: a batch's outcome is unknown; the next call sends
+            it again
         """
         try:
             return await self._step()
         except StoreBusy:
-            if self._drawer.batch and not self._drawer.unsure:
-                self._put_back(self._drawer.drop())
+            if self._writer.batch and not self._writer.uncertain:
+                self._cancel_returns(self._writer.discard())
             raise
 
     async def _step(self):
-        if not self._drawer.recovered:
-            await self._drawer.recover()
-        if self._drawer.batch is None:
-            wishes = self._last_wishes() if self._stopping else self._wishes()
-            if not wishes and not self._is_record_due():
+        if not self._writer.recovered:
+            await self._writer.recover()
+        if self._writer.batch is None:
+            draws = (
+                self._plan_returns() if self._stopping else self._plan_draws()
+            )
+            if not draws and not self._is_record_due():
                 return False
-            self._begin(wishes)
+            self._begin(draws)
         return await self._write()
 
-    def _wishes(self):
+    def _plan_draws(self):
         now = self._clock.steady()
         too_early = self._is_too_early(now)
-        wishes = {}
+        draws = {}
         for name, account in self._accounts.items():
             if not self._holders.is_holder(name):
-                if self._is_to_give_back(account):
-                    wishes[name] = -account.available
+                if self._must_return(account):
+                    draws[name] = -account.available
                 continue
-            needed = account.lacking or account.unmet
+            needed = account.shortfall or account.borrower_shortfall
             if not needed and too_early:
                 continue
-            wish = account.wish(self._holders.sharer_count(name), now)
-            if wish > 0 and now < self._dry_until.get(name, 0.0):
+            draw = account.planned_draw(self._holders.sharer_count(name), now)
+            if draw > 0 and now < self._store_empty_until.get(name, 0.0):
                 continue
-            if wish or account.recalled:
-                wishes[name] = wish
-        return dict(list(wishes.items())[:BATCH_LIMIT])
+            if draw or account.recalled:
+                draws[name] = draw
+        return dict(list(draws.items())[:BATCH_LIMIT])
 
     def _is_too_early(self, now):
-        """Return whether most routers of a fleet would draw in vain now.
+        """Return whether it is too soon after the start to draw.
 
-        One that just started knows few others and takes itself for one of
-        those that draw.
+        A router that just started knows few others, so most would wrongly
+        take themselves for holders.
         """
         delay = (
             LARGE_DRAW_SECONDS
@@ -172,65 +175,70 @@
         )
         return now < self._started + delay
 
-    def _is_to_give_back(self, account):
-        """Return whether a router still holds what it drew as a holder.
+    def _must_return(self, account):
+        """Return whether a router that is no holder must return its draw.
 
-        A router that just started may have taken the fleet for small.
+        It may have drawn after its start, when it knew too few routers to
+        tell that the fleet is large.
         """
-        return account.name in self._drawn and not self._holders.young
+        return account.name in self._drawn and not self._holders.is_starting
 
-    def _last_wishes(self):
-        """Return what to give back at the end of a planned stop."""
-        if not self._giving_back:
+    def _plan_returns(self):
+        """Return what to return at the end of a planned stop."""
+        if not self._returning:
             return {}
         held = [a for a in self.held() if a.available > 0]
         return {a.name: -a.available for a in held[:BATCH_LIMIT]}
 
     def _is_record_due(self):
-        """Return whether the written limits are old or nearly used up."""
+        """Return whether to write limits, as they are old or nearly used."""
         newest = self._allowances.newest()
         if newest is None:
             return False
         held = self.held()
         if self._stopping and not self._released.is_set():
             return True
-        if not self._drawn and self._address not in self._holders.drawing():
-            # What was only borrowed is not written down.
+        if (
+            not self._drawn
+            and self._address not in self._holders.drawing_routers()
+        ):
+            # Borrowed tokens are not recorded.
             return False
         now = self._clock.steady()
         if now > newest.made_at + RENEW_SECONDS:
             return True
-        if any(self._is_held_back(account) for account in held):
+        if any(self._is_limited(account) for account in held):
             return True
         if now < newest.made_at + WIDEN_PAUSE:
             return False
-        return any(self._is_narrow(account) for account in held)
+        return any(self._is_limit_low(account) for account in held)
 
-    def _is_held_back(self, account):
-        """Return whether a limit, not a lack, makes somebody wait.
+    def _is_limited(self, account):
+        """Return whether a limit holds back tokens that are there.
 
-        A borrower takes a part of what it lacks, a request does not.
+        A borrower accepts a part of its shortfall; a request needs all of its
+        tokens.
         """
-        room = self.room(account)
-        if room is None:
+        headroom = self.headroom(account)
+        if headroom is None:
             return False
-        if room < min(account.unmet, account.available):
+        if headroom < min(account.borrower_shortfall, account.available):
             return True
-        return room < account.wanted <= account.available
+        return headroom < account.waiting_tokens <= account.available
 
-    def _is_narrow(self, account):
-        room = self.room(account)
-        if room is None or room >= account.available:
+    def _is_limit_low(self, account):
+        headroom = self.headroom(account)
+        if headroom is None or headroom >= account.available:
             return False
         allowance = self._allowance(account)
-        return room < (1 - ALLOWANCE_USED) * allowance
+        return headroom < (1 - ALLOWANCE_USED) * allowance
 
     def held(self):
         """Return the accounts that ever held tokens."""
         return [a for a in self._accounts.values() if a.inflow]
 
     def _allowance(self, account):
-        """Return the tokens that may go out at once after a record."""
+        """Return the tokens that may leave at once after a record."""
         if self._stopping:
             return account.available
         holders = self._holders.count(account.name)
@@ -239,68 +247,69 @@
     def _limit(self, account, inflow):
         """Return the Limit for a record that is about to be made.
 
-        :param inflow: tokens that came in, and those that the batch draws
+        :param inflow: tokens received, including those that the batch draws
         """
         base = min(inflow, account.outflow + self._allowance(account))
         holders = self._holders.count(account.name)
-        return Limit(base, account.pace(holders, self._clock.steady()))
+        return Limit(base, account.limit_growth(holders, self._clock.steady()))
 
-    def _begin(self, wishes):
-        for name, wish in wishes.items():
-            if wish < 0:
-                # Tokens on their way back are nobody's to spend.
-                self._accounts[name].take_out(-wish)
-        self._drawer.begin(wishes)
+    def _begin(self, draws):
+        for name, draw in draws.items():
+            if draw < 0:
+                # Tokens that are being returned cannot be spent here.
+                self._accounts[name].debit(-draw)
+        self._writer.begin(draws)
 
-    def _put_back(self, batch):
-        for name, wish in batch.wishes.items():
-            if wish < 0:
-                self._accounts[name].put_back(-wish)
+    def _cancel_returns(self, batch):
+        for name, draw in batch.planned_draws.items():
+            if draw < 0:
+                self._accounts[name].cancel_debit(-draw)
 
-    # Records of budgets
+    # Budget records
 
-    def _note_record(self, name, value):
-        self._news.tell(self._holders.of(name), name, value)
+    def _announce_record(self, name, value):
+        self._notifier.notify(self._holders.for_budget(name), name, value)
 
-    def hear(self, name, value):
-        """Take in what a budget's record says, as a peer wrote it."""
-        self._drawer.hear(name, value)
+    def merge_record(self, name, value):
+        """Merge a budget's record that a peer wrote."""
+        self._writer.merge_record(name, value)
         account = self._accounts.get(name)
-        if account is not None and self._drawer.batch is None:
-            # Else the record may count what this router still adds to it.
-            account.recorded = self._drawer.record(name).spent
+        if account is not None and self._writer.batch is None:
+            # During a batch the record may count spent tokens that this router
+            # still takes for unreported.
+            account.recorded = self._writer.record(name).spent
 
-    def untold(self, account):
-        """Return the tokens spent here that a lender may be told to count.
+    def reportable_spent(self, account):
+        """Return the tokens spent here to report to a lender.
 
-        What the store may count already would be counted twice, and the budget
-        be called spent too early.
+        It is 0 if the store may count them already: counted twice, the budget
+        would be refused as spent too early.
         """
-        if self._drawer.may_count_spent(account.name):
+        if self._writer.may_count_spent(account.name):
             return 0
         return account.unreported
 
-    # What the drawer writes down
+    # Values for the batch writer
 
     def total(self, name):
         """Return a budget's total and its configuration's version."""
         totals, version = self._totals
         return totals.get(name, 0), version
 
-    def trim(self, name, wish, left):
-        """Return what to draw now that the store's record is known.
+    def trim(self, name, draw, left):
+        """Reduce a planned draw to what the store's record allows.
 
         :param left: tokens left in the store
         """
         count = self._holders.sharer_count(name)
-        return self._accounts[name].trim(wish, count, left)
+        return self._accounts[name].trim(draw, count, left)
 
     def spent(self, name):
-        """Return the tokens of a budget that this router surely spent."""
+        """Return the tokens of a budget known to be spent by this router."""
         return self._accounts[name].spent
 
     def unreported(self):
-        """Return what is surely spent and no record counts, by budget."""
+        """Return the spent tokens that no record counts, by budget."""
         return {
             account.name: account.unreported
             for account in self._accounts.values()
@@ -308,9 +317,9 @@
         }
 
     def limits(self, moves):
-        """Return the Limit of tokens out by budget.
+        """Return the outflow Limit of each budget.
 
-        :param moves: tokens by budget that a batch moves in or out
+        :param moves: tokens by budget that a batch draws, negative if returned
         """
         limits = {}
         for name, account in self._accounts.items():
@@ -319,48 +328,48 @@
                 limits[name] = self._limit(account, inflow)
         return limits
 
-    def out(self, names):
-        """Return what has gone out of some budgets.
+    def outflows(self, names):
+        """Return the outflow of some budgets.
 
-        :returns: by budget, tokens that went out or are set aside, and those
-            of them that are set aside for requests under way
+        :returns: by budget, tokens that left or are reserved, and part of
+            these that is reserved for running requests
         """
         accounts = {name: self._accounts[name] for name in names}
-        return {n: (a.outflow, a.under_way) for n, a in accounts.items()}
+        return {n: (a.outflow, a.in_flight) for n, a in accounts.items()}
 
     def inflows(self):
-        """Return the tokens that came in so far, by budget."""
+        """Return the tokens received since the start, by budget."""
         return {name: a.inflow for name, a in self._accounts.items()}
 
     async def _write(self):
-        batch = await self._drawer.write(self)
+        batch = await self._writer.write(self)
         if batch is None:
             return False
         if self._stopping and self._is_released(batch):
             self._released.set()
         now = self._clock.steady()
         for account in self._accounts.values():
-            account.forget_unmet()
-        for name, asked in batch.asked.items():
+            account.clear_shortfalls()
+        for name, requested in batch.requested.items():
             account = self._accounts[name]
             moved = batch.moves[name]
             drawn = max(0, moved)
             account.credit(drawn)
-            batch.allowance.note_drawn(name, drawn)
-            record = self._drawer.record(name)
-            account.note_record(record, batch.reported[name], now)
-            if batch.wishes[name] <= 0:
+            batch.allowance.add_drawn(name, drawn)
+            record = self._writer.record(name)
+            account.apply_record(record, batch.reported[name], now)
+            if batch.planned_draws[name] <= 0:
                 account.recalled = False
             if drawn:
                 self._drawn.add(name)
             elif not self._holders.is_holder(name):
                 self._drawn.discard(name)
-            if moved < asked:
-                self._dry_until[name] = now + STORE_DRY_SECONDS
-        if batch.wishes:
+            if moved < requested:
+                self._store_empty_until[name] = now + STORE_EMPTY_SECONDS
+        if batch.planned_draws:
             LOG.info("budget_batch", number=batch.number, moves=batch.moves)
         return True
 
     def _is_released(self, batch):
-        """Return whether a batch lets all go out that is held."""
+        """Return whether a batch's limits let out all held tokens."""
         return not batch.record.unspent(0.0)
--- a/test/test_membership.py
+++ b/test/test_membership.py
@@ -79,8 +79,10 @@
     loop = MembershipLoop(
         one, peers, None, cell.settings, None, one.suspect_address
     )
-    asyncio.run(loop._tell(address_of(other.own.incarnation), one._message()))
-    assert one.is_alive(other.own.incarnation) is not gone
+    asyncio.run(
+        loop._tell(address_of(other.own_entry.incarnation), one._message())
+    )
+    assert one.is_alive(other.own_entry.incarnation) is not gone
 
 
 def test_listed_routers_that_are_not_known_are_greeted_at_once():
@@ -88,12 +90,12 @@
     one = cell.members["10.0.0.1:1"]
     others = ["10.0.0.0:1", "10.0.0.2:1"]
     one.set_seeds(["10.0.0.1:1", *others])
-    greetings = one.greetings()
-    assert sorted(address for address, _message in greetings) == others
-    for address, message in greetings:
+    announcements = one.announcements()
+    assert sorted(address for address, _message in announcements) == others
+    for address, message in announcements:
         one.receive(cell.members[address].receive(message))
     assert len(one.live()) == 3
-    assert one.greetings() == []
+    assert one.announcements() == []
 
 
 @pytest.mark.parametrize("count", (2, 4, 8, 16, 35))
@@ -144,8 +146,8 @@
     clock = observer._clock = CountingClock(cell.clock.steady())
     for _number in range(20):
         assert len(observer.live()) == 60
-        assert len(observer.others()) == 59
-        assert len(observer.ready_others()) == 59
+        assert len(observer.live_peers()) == 59
+        assert len(observer.ready_peers()) == 59
     assert clock.asked < 3 * 60
 
 
@@ -172,7 +174,7 @@
     cell = Cell(4)
     cell.run()
     silent = "10.0.0.2:1"
-    name = cell.members[silent].own.incarnation
+    name = cell.members[silent].own_entry.incarnation
     observer = cell.members["10.0.0.0:1"]
     assert observer.is_alive(name)
     cell.run(10, frozen=(silent,))
@@ -186,7 +188,7 @@
     cell = Cell(3)
     cell.run()
     observer = cell.members["10.0.0.0:1"]
-    name = cell.members["10.0.0.1:1"].own.incarnation
+    name = cell.members["10.0.0.1:1"].own_entry.incarnation
     observer.suspect(name)
     assert not observer.is_alive(name)
     cell.run(5)
@@ -200,7 +202,7 @@
     leaving.set_state(LEAVING)
     cell.run(6)
     observer = cell.members["10.0.0.0:1"]
-    name = leaving.own.incarnation
+    name = leaving.own_entry.incarnation
     assert name not in {observer.home(shard) for shard in range(16)}
     assert name in observer.entries()
 
@@ -208,7 +210,7 @@
 def test_a_restart_at_the_same_address_is_another_router():
     cell = Cell(3)
     cell.run()
-    old = cell.members["10.0.0.2:1"].own.incarnation
+    old = cell.members["10.0.0.2:1"].own_entry.incarnation
     cell.add(2, nonce="b")
     cell.run(20)
     observer = cell.members["10.0.0.0:1"]
@@ -229,8 +231,8 @@
     one.set_listed([])
     assert [address for address, _message in one.tick()] == ["10.0.0.0:1"]
     one.set_listed(["10.0.0.2:1", "10.0.0.1:1"])
-    greeted = {address for address, _message in one.greetings()}
-    assert greeted == {"10.0.0.0:1", "10.0.0.2:1"}
+    targets = {address for address, _message in one.announcements()}
+    assert targets == {"10.0.0.0:1", "10.0.0.2:1"}
 
 
 def test_all_name_the_same_delegates_and_keep_them():
@@ -288,12 +290,12 @@
         one = after.add(number)
         one.set_listed(listed)
         assert one.delegates("work", 4, 0.02) == listed[:4]
-        assert not one.is_unheard(f"10.0.0.{number}:1")
+        assert not one.is_presumed_live(f"10.0.0.{number}:1")
     first = after.members["10.0.0.0:1"]
     others = [address for address in listed if address != "10.0.0.0:1"]
-    assert all(map(first.is_unheard, others))
+    assert all(map(first.is_presumed_live, others))
     after.run(20)
-    assert not any(map(first.is_unheard, others))
+    assert not any(map(first.is_presumed_live, others))
     assert first.delegates("work", 4, 0.02) == listed[:4]
 
 
--- a/test/test_platform.py
+++ b/test/test_platform.py
@@ -23,7 +23,7 @@
 from rowanport.errors import StoreConflict
 from rowanport.errors import StoreUnavailable
 from rowanport.errors import UpstreamError
-from rowanport.gateway.standing import ViewStanding
+from rowanport.gateway.freshness_tracker import FreshnessTracker
 from rowanport.platform import settings as platform_settings
 from rowanport.platform.config import decode_config
 from rowanport.platform.sources import ConfigSource
@@ -608,12 +608,12 @@
 
     def __init__(self, table=None):
         self.table = table
-        self.on_duty = False
-        self.young = False
+        self.watches_store = False
+        self.starting_up = False
         self.configs = []
-        self.standing = ViewStanding(Alone(), SystemClock())
+        self.freshness = FreshnessTracker(Alone(), SystemClock())
 
-    def take_config(self, data, source):
+    def apply_config(self, data, source):
         self.configs.append(json.loads(data)["version"])
 
 
@@ -631,10 +631,10 @@
         task = asyncio.ensure_future(source.run(views))
         await asyncio.sleep(0.1)
         assert (standin.calls, views.configs) == ([], [])
-        views.on_duty = True
+        views.watches_store = True
         await asyncio.sleep(2 * DUTY_POLL)
         assert views.configs == [1]
-        views.on_duty = False
+        views.watches_store = False
         await standin.put("op/config", config(version=2))
         await asyncio.sleep(2 * DUTY_POLL)
         before = len(standin.calls)
@@ -657,7 +657,7 @@
         await standin.start(port)
         client = HttpClient()
         views = FollowedViews()
-        views.on_duty = views.young = True
+        views.watches_store = views.starting_up = True
         clock = SystemClock()
         store = PlatformStore(client, f"127.0.0.1:{port}", clock)
         source = ConfigSource(store, clock)
--- a/test/test_views.py
+++ b/test/test_views.py
@@ -9,7 +9,7 @@
 import zlib
 
 from rowanport.errors import PeerError
-from rowanport.gateway.congestion import Congestion
+from rowanport.gateway.congestion import CongestionDetector
 from rowanport.gateway.views import Views
 from rowanport.platform.config import decode_config
 from rowanport.prepaid import FleetClocks
@@ -43,13 +43,13 @@
 class FewMembers:
     """Two ready peers, the one that is asked first before the other."""
 
-    knows_others = True
+    knows_peers = True
 
     def __init__(self):
         self._turn = 0
         self.version = 0
 
-    def ready_others(self):
+    def ready_peers(self):
         self._turn += 1
         return ["x/silent/1", "x/slow/1"][:: 1 if self._turn % 2 else -1]
 
@@ -72,7 +72,7 @@
     clock = LoopClock(loop)
     clocks = FleetClocks(clock)
     views = Views(
-        decode, members, peers, "own", clock, clocks, Congestion(clock)
+        decode, members, peers, "own", clock, clocks, CongestionDetector(clock)
     )
     views.on_table = lambda table: None
     return views
@@ -137,7 +137,7 @@
     loop = VirtualLoop()
     data = large_config()
     giver = make_views(loop, FewMembers(), None, decode_config)
-    giver.take_config(data, "store")
+    giver.apply_config(data, "store")
     give = giver.handle(ViewAsk(0, 0, "asker", 0.0, 0, NO_NEWS, [], 0))
     assert len(give.config_data) * 10 < len(data)
     loop.close()
@@ -146,7 +146,7 @@
 def test_a_configuration_passes_from_router_to_router():
     loop = VirtualLoop()
     first = make_views(loop, FewMembers(), None, decode_config)
-    first.take_config(large_config(), "store")
+    first.apply_config(large_config(), "store")
     second = make_views(loop, FewMembers(), OnePeer(first), decode_config)
     third = make_views(loop, FewMembers(), OnePeer(second), decode_config)
     loop.run_until_complete(second.ask("first"))
--- a/test/world.py
+++ b/test/world.py
@@ -9,7 +9,6 @@
 import random
 from test.virtual import LoopClock
 from test.virtual import VirtualLoop
-
 from rowanport.errors import ErrorKind
 from rowanport.errors import PeerError
 from rowanport.errors import PeerGone
@@ -190,7 +189,7 @@
         """Treat a router as dead for 1 s, until its next heartbeat."""
         self._suspected[incarnation] = self._world.loop.now + 1.0
 
-    def others(self):
+    def live_peers(self):
         cell = cell_of(self._incarnation)
         return [
             name
@@ -199,10 +198,10 @@
         ]
 
     def entries(self):
-        return self.others() or [self._incarnation]
+        return self.live_peers() or [self._incarnation]
 
     def witness(self):
-        order = rendezvous(self._incarnation, self.others())
+        order = rendezvous(self._incarnation, self.live_peers())
         return order[0] if order else None
 
     def homes(self, shard, kind="ledger"):
