--- a/test/test_router.py
+++ b/test/test_router.py
@@ -1,4 +1,4 @@
-"""The whole path through real processes, as callers and operators see it."""
+"""End-to-end tests with real processes, as callers and operators see them."""
 
 import asyncio
 import functools
@@ -24,7 +24,7 @@
 
 
 def keeps_logs(test):
-    """Keep the logs of the fleet's processes where a test of it fails."""
+    """Keep the logs of the fleet's processes if the test fails."""
 
     @functools.wraps(test)
     def run(site):
@@ -38,7 +38,7 @@
 
 
 class Site:
-    """A small fleet and the loop that talks to it."""
+    """A small fleet, and the event loop of its clients."""
 
     def __init__(self, fleet, loop):
         self.fleet = fleet
@@ -59,7 +59,7 @@
                 {BUDGET: TOKENS, f"{ORGANISATION}/poor": 60}
             )
             await self.fleet.wait_routers(version=version)
-            # Long enough for homes to know the cell and hold grants.
+            # Gives homes time to know the cell and to get grants.
             await asyncio.sleep(2.5)
 
         self.run(start())
@@ -96,7 +96,10 @@
         return self.run(read())
 
     def samples(self, plans, action=None):
-        """Send plans, with an action beside them; return the Samples."""
+        """Send the requests of plans and return their Samples.
+
+        :param action: coroutine function that runs meanwhile, or None
+        """
         addresses = [router.address for router in self.fleet.routers]
         keys = self.deployment.keys
         sender = load.Load(addresses, keys, MODEL, SERVICE)
@@ -111,12 +114,13 @@
         return self.run(send())
 
 
-def test_status_counts_what_homes_hold_but_no_end_that_is_untold():
-    # Operators were shown what a router owes and the ends that it has yet to
-    # tell a witness, but not what its homes hold for others.  So the books of
-    # a killed router looked settled 0.46 to 0.81 s after its load, before its
-    # home had billed its runs (3 of 8 runs of this file), and where a witness
-    # had died they stayed open for the minute in which it is remembered.
+def test_status_counts_held_reservations_but_no_end_unknown_to_a_witness():
+    # The status counted a router's own reservations and the ends not yet
+    # reported to a witness, but not the reservations that its shards hold for
+    # other entries.  So the accounts of a killed router looked settled 0.46 to
+    # 0.81 s after its load, before its home had billed its runs (3 of 8 runs
+    # of this file); and if a witness had died, they looked unsettled for the
+    # minute for which it stays a known member.
     router = mock.MagicMock()
     router.clock.wall.return_value = 100.0
     router.ledger.unbilled = 2
@@ -155,7 +159,7 @@
 
 
 @keeps_logs
-def test_the_openai_client_gets_whole_and_streamed_answers(site):
+def test_the_openai_client_gets_complete_and_streamed_answers(site):
     address = site.fleet.routers[0].address
     client = openai.OpenAI(api_key=site.key, base_url=f"http://{address}/v1")
     chat = [{"role": "user", "content": "night report"}]
@@ -205,7 +209,7 @@
     ),
     ids=("nonsense", "long head", "unfinished head"),
 )
-def test_malformed_heads_hold_nothing_open(site, text, status):
+def test_connections_with_malformed_heads_are_closed(site, text, status):
     router = site.fleet.routers[0]
     with socket.create_connection((router.ip, router.caller_port)) as raw:
         raw.settimeout(20)
@@ -218,7 +222,7 @@
 
 
 @keeps_logs
-def test_a_bulletin_runs_once_through_whatever_router(site):
+def test_a_request_that_is_not_repeatable_runs_once_over_all_routers(site):
     before = site.counts(site.fleet.services)[0]
     answers = [
         site.call(
@@ -238,13 +242,13 @@
 
 
 @keeps_logs
-def test_a_second_try_of_a_chat_bulletin_gets_the_same_answer(site):
+def test_a_duplicate_chat_request_gets_the_same_answer(site):
     headers = {
         "idempotency_key": "bulletin-2",
         "rowanport_repeatable": "no",
     }
     first = site.chat(router=0, **headers)
-    # The time of creation, in whole seconds, is that of the run.
+    # The creation time, in whole seconds, has to be that of the first run.
     site.run(asyncio.sleep(1.1))
     second = site.chat(router=1, **headers)
     assert first[0] == second[0] == 200
@@ -296,11 +300,11 @@
 
 
 @keeps_logs
-def test_a_leaving_engine_gets_nothing_new(site):
+def test_a_leaving_engine_gets_no_new_requests(site):
     engine, other = site.fleet.engines
     site.run(site.fleet.faults(engine, leaving=True))
     try:
-        # The bound of the brief: "after a few seconds".
+        # The requirement is that this takes a few seconds at most.
         site.run(asyncio.sleep(3.0))
         before = site.counts([engine, other])
         for number in range(12):
@@ -313,12 +317,15 @@
 
 
 def describe(sample):
-    """Return what a caller was answered, for the report of a failure."""
+    """Return the answer that a caller got, for the report of a failure."""
     return (sample.request, sample.status, sample.error, sample.detail)
 
 
-def check_books(site):
-    """Every token that the engines generated is in the ledger, once."""
+def check_accounting(site):
+    """Check that the ledger has each generated token exactly once.
+
+    :returns: the ShardRecord of the budget
+    """
     assert site.run(site.deployment.settled(30.0))
     record, budget = site.run(site.deployment.budgets.read(BUDGET))
     served = site.run(site.deployment.served())[BUDGET]
@@ -334,7 +341,7 @@
 
 
 @keeps_logs
-def test_a_router_that_froze_and_woke_bills_once(site):
+def test_a_router_that_was_frozen_for_a_while_bills_once(site):
     kind = load.Kind("stream", 1.0, 60, 20, 30, True, True)
     plans = load.make_plans(3, 60, 3.0, [ORGANISATION], 6, [kind])
     router = site.fleet.routers[4]
@@ -351,7 +358,7 @@
         if sample.plan.router != 4:
             assert sample.done, describe(sample)
         assert sample.status != 200 or sample.done
-    check_books(site)
+    check_accounting(site)
 
 
 @keeps_logs
@@ -394,9 +401,9 @@
         plan.router = plan.at = 0
     retried = site.samples(cut)
     assert [describe(s) for s in retried if not s.done] == []
-    # The dead router's cell-mate witnessed its reservations and asked the
-    # engines, so not one token is missing from the ledger.
-    record = check_books(site)
+    # Another router of the cell witnessed the killed router's reservations and
+    # queried the engines, so that no token is missing from the ledger.
+    record = check_accounting(site)
     assert set(record.bills) >= {s.request for s in samples if s.done}
 
 
