--- a/test/test_silence_races.py
+++ b/test/test_silence_races.py
@@ -423,8 +423,8 @@
 
 
 def test_the_chat_api_retries_a_stalled_run_if_allowed():
-    # With a retry allowed the stalled run is cancelled, and the caller gets the
-    # second one's answer after a stall of 1 s instead of the whole pause.
+    # With a retry allowed, the stalled run is cancelled and the caller gets
+    # the answer of a second one after 1 s instead of the whole pause.
     engine = PausingOnceEngine(50.0)
     run = ChatRun(engine, retry_allowed=True, seconds_left=20)
     assert (run.error, engine.cancellations) == (None, 1)
@@ -560,7 +560,7 @@
 async def test_a_run_that_hangs_within_an_event_delays_no_other(
     scene,
 ):
-    # The second run sends half an event and then hangs; the first one continues
+    # The second run sends half an event and then hangs; the first continues
     # 0.2 s later.
     request, first, (other,) = await scene.begin()
     first.pauses = {4: 1.8}
