--- a/rowanport/prepaid/allowance.py
+++ b/rowanport/prepaid/allowance.py
@@ -174,18 +174,18 @@
     return age if proved else None
 
 
-def machine_age(record, span, heard, latest):
+def machine_age(record, span, has_recent_peers, latest):
     """Return the age of a record by which a restarted machine had ended.
 
     :param record: its last HolderRecord
     :param span: span in seconds of the shortest lease left of it, or None
-    :param heard: whether another machine's clock was observed
+    :param has_recent_peers: whether another machine's clock was observed
     :param latest: latest wall time that any clock of the fleet showed when
         the next run began
     :returns: seconds, one of ``LEASE_SPANS``; None if not proved or if the
         limits had lapsed
     """
-    if span is None or not heard:
+    if span is None or not has_recent_peers:
         return None
     age = latest - record.earliest
     if age < 0.0:
