--- a/test/world.py
+++ b/test/world.py
@@ -9,6 +9,7 @@
 import random
 from test.virtual import LoopClock
 from test.virtual import VirtualLoop
+
 from rowanport.errors import ErrorKind
 from rowanport.errors import PeerError
 from rowanport.errors import PeerGone
