--- a/test/test_changes.py
+++ b/test/test_changes.py
@@ -1,4 +1,4 @@
-"""What routers tell each other of changes in the list of upstreams."""
+"""Deltas of the list of upstreams, and to which peers they are sent."""
 
 import random
 
@@ -27,8 +27,8 @@
     return UpstreamList(revision, [upstream(name) for name in NAMES])
 
 
-class Giver:
-    """A router that knows each list as soon as it is new."""
+class Sender:
+    """A router that always has the newest list."""
 
     def __init__(self):
         self.known = UpstreamList()
@@ -39,12 +39,12 @@
         self.log.record(self.known, new)
         self.known = new
 
-    def tell(self, base):
+    def delta(self, base):
         return UpstreamDelta.unpack(self.log.delta(base, self.known).pack())
 
 
 def change_at_random(draw, upstreams):
-    """Return a list in which a few upstreams came, left or went."""
+    """Return upstreams of which a few were added, changed or removed."""
     changed = dict(upstreams)
     for _number in range(draw.randint(0, 4)):
         name = draw.choice(NAMES)
@@ -57,71 +57,71 @@
     return changed
 
 
-def test_what_changed_is_a_fraction_of_the_list():
-    giver = Giver()
-    giver.put(1, full_list().upstreams.values())
-    left = dict(giver.known.upstreams)
+def test_a_delta_is_much_smaller_than_the_list():
+    sender = Sender()
+    sender.put(1, full_list().upstreams.values())
+    left = dict(sender.known.upstreams)
     for name in NAMES[:4]:
         left[name] = upstream(name, leaving=True)
-    giver.put(2, left.values())
-    whole = len(giver.log.delta(NO_LIST, giver.known).pack())
-    part = len(giver.log.delta((1, 0), giver.known).pack())
+    sender.put(2, left.values())
+    whole = len(sender.log.delta(NO_LIST, sender.known).pack())
+    part = len(sender.log.delta((1, 0), sender.known).pack())
     assert part < 200
     assert part * 4 < whole
 
 
-def test_lost_late_and_repeated_pieces_leave_no_hole():
+def test_lost_late_and_repeated_deltas_lose_no_change():
     for seed in range(60):
         draw = random.Random(seed)
-        giver, pieces = Giver(), []
-        giver.put(1, full_list().upstreams.values())
-        known = giver.tell(NO_LIST).apply(UpstreamList())
+        sender, deltas = Sender(), []
+        sender.put(1, full_list().upstreams.values())
+        known = sender.delta(NO_LIST).apply(UpstreamList())
         for revision in range(2, 40):
-            changed = change_at_random(draw, giver.known.upstreams)
-            giver.put(revision, changed.values(), draw.randint(0, 2))
-            pieces.append(giver.tell(known.version))
+            changed = change_at_random(draw, sender.known.upstreams)
+            sender.put(revision, changed.values(), draw.randint(0, 2))
+            deltas.append(sender.delta(known.version))
             if draw.random() < 0.3:
-                pieces.append(giver.tell(draw.choice([NO_LIST, (1, 0)])))
-            while pieces and draw.random() < 0.6:
-                piece = draw.choice(pieces)
+                deltas.append(sender.delta(draw.choice([NO_LIST, (1, 0)])))
+            while deltas and draw.random() < 0.6:
+                delta = draw.choice(deltas)
                 if draw.random() < 0.5:
-                    pieces.remove(piece)
-                if piece.version <= known.version:
+                    deltas.remove(delta)
+                if delta.version <= known.version:
                     continue
-                taken = piece.apply(known)
+                taken = delta.apply(known)
                 if taken is not None:
                     known = taken
-                    assert known.digest == piece.digest, seed
-        last = giver.tell(known.version)
-        if known.version < giver.known.version:
+                    assert known.digest == delta.digest, seed
+        last = sender.delta(known.version)
+        if known.version < sender.known.version:
             known = last.apply(known)
-        assert known.upstreams == giver.known.upstreams
+        assert known.upstreams == sender.known.upstreams
 
 
-def test_a_piece_that_starts_later_is_not_taken():
-    giver = Giver()
+def test_a_delta_with_a_newer_base_is_not_applied():
+    sender = Sender()
     for revision in (1, 2, 3):
-        giver.put(revision, [upstream(name) for name in NAMES[:revision]])
-    piece = giver.tell((2, 0))
-    assert piece.apply(UpstreamList(1, [])) is None
+        sender.put(revision, [upstream(name) for name in NAMES[:revision]])
+    delta = sender.delta((2, 0))
+    assert delta.apply(UpstreamList(1, [])) is None
 
 
-def test_who_missed_more_than_is_remembered_is_told_all(monkeypatch):
+def test_a_router_that_missed_too_many_changes_gets_the_full_list(monkeypatch):
     monkeypatch.setattr(upstream_delta, "MAX_CHANGES", 3)
-    giver = Giver()
-    giver.put(1, full_list().upstreams.values())
+    sender = Sender()
+    sender.put(1, full_list().upstreams.values())
     for revision in range(2, 12):
         name = NAMES[revision]
-        listed = dict(giver.known.upstreams)
+        listed = dict(sender.known.upstreams)
         listed[name] = upstream(name, leaving=True)
-        giver.put(revision, listed.values())
-    assert giver.tell((1, 0)).base == NO_LIST
-    piece = giver.tell((10, 0))
-    assert piece.base == (10, 0)
-    assert [changed.id for changed in piece.changed] == [NAMES[11]]
+        sender.put(revision, listed.values())
+    assert sender.delta((1, 0)).base == NO_LIST
+    delta = sender.delta((10, 0))
+    assert delta.base == (10, 0)
+    assert [changed.id for changed in delta.changed] == [NAMES[11]]
 
 
-def test_what_is_kept_as_a_guess_does_not_make_lists_differ():
+def test_lapsing_upstreams_do_not_change_the_digest():
     known = [upstream(name) for name in NAMES[:3]]
     guess = [*known, upstream(NAMES[5], lapsing=True)]
     more = [*guess, upstream(NAMES[6])]
@@ -129,19 +129,19 @@
     assert UpstreamList(1, known).digest != UpstreamList(1, more).digest
 
 
-def test_the_order_of_upstreams_does_not_make_lists_differ():
+def test_the_order_of_upstreams_does_not_change_the_digest():
     listed = [upstream(name) for name in NAMES[:5]]
     other = UpstreamList(1, reversed(listed))
     assert UpstreamList(1, listed).digest == other.digest
 
 
 @pytest.mark.parametrize("data", (b"", b"{}", b"\x00" * 20))
-def test_bytes_that_are_no_change_are_told_as_such(data):
+def test_malformed_bytes_are_rejected(data):
     with pytest.raises(MessageError):
         UpstreamDelta.unpack(data)
 
 
-def test_the_same_is_not_told_twice_while_it_is_on_its_way():
+def test_a_version_in_flight_is_not_sent_again():
     polling = PollingPeers()
     peer = polling.record_poll("peer", 5, (100, 0), 10.0)
     assert peer.begin_upstreams_send((101, 0), 10.0)
@@ -154,7 +154,7 @@
     ).begin_upstreams_send((101, 1), again)
 
 
-def test_what_an_asker_knows_is_not_told():
+def test_a_version_that_the_peer_knows_is_not_sent():
     peer = PollingPeers().record_poll("peer", 5, (100, 1), 10.0)
     assert not peer.begin_upstreams_send((100, 1), 10.0)
     assert not peer.begin_upstreams_send((99, 9), 10.0)
@@ -163,7 +163,7 @@
     assert not peer.begin_config_send(6, 10.1)
 
 
-def test_who_starts_again_is_told_at_once():
+def test_a_restarted_peer_is_sent_the_list_at_once():
     polling = PollingPeers()
     polling.record_poll("peer", 5, (100, 0), 10.0).begin_upstreams_send(
         (101, 0), 10.0
@@ -172,7 +172,7 @@
     assert peer.begin_upstreams_send((101, 0), 10.2)
 
 
-def test_updates_go_to_those_that_asked_lately():
+def test_updates_go_to_peers_that_polled_recently():
     polling = PollingPeers()
     for number in range(4):
         polling.record_poll(f"peer-{number}", 1, (1, 0), 10.0 + number)
--- a/test/test_freshness.py
+++ b/test/test_freshness.py
@@ -1,4 +1,4 @@
-"""How old a router's view of the fleet may be."""
+"""The age of a router's view of the fleet, and when it is stale."""
 
 import math
 
@@ -11,16 +11,18 @@
 from rowanport.gateway.freshness import ViewAge
 from rowanport.gateway.freshness import WatchAge
 
-# Seconds after the store's word from which on no new work may reach an
+# Seconds after a change in the store by which no new request may reach an
 # upstream that leaves.
 DRAIN_SECONDS = 3.0
 
 
-def asked(round_trip, seconds, peer_age=lambda now: 0.2, pause=0.25):
-    """Return a ViewAge after questions that were answered for some time.
+def polled(round_trip, seconds, peer_age=lambda now: 0.2, pause=0.25):
+    """Return a ViewAge after polls that were answered for some time.
 
-    :param round_trip: seconds from each question to its answer
+    :param round_trip: seconds from each poll to its answer
+    :param seconds: how long peers are polled
     :param peer_age: function from a time to the age of the peers' own views
+    :param pause: seconds between two polls
     """
     age = ViewAge()
     number = 0
@@ -32,55 +34,55 @@
     return age
 
 
-def test_a_view_is_as_old_as_the_question_and_the_peers_own_view():
+def test_the_age_counts_from_the_query_plus_the_age_of_the_peers_view():
     age = ViewAge()
     age.confirm(10.0 - 0.3, "peer")
     assert math.isclose(age.age(10.5), 0.8)
     assert age.source == "peer"
 
 
-def test_an_older_answer_that_comes_later_makes_nothing_younger():
+def test_a_late_older_answer_does_not_make_the_view_fresher():
     age = ViewAge()
     age.confirm(10.0, "fast")
     age.confirm(9.0, "slow")
     assert (age.known_until, age.source) == (10.0, "fast")
 
 
-def test_a_view_that_nobody_ever_confirmed_is_old():
+def test_a_view_that_was_never_confirmed_is_stale():
     assert ViewAge().freshness(1000.0) is Freshness.STALE
 
 
-def test_a_router_with_quick_answers_is_confirmed_all_the_time():
-    age = asked(0.01, 20.0)
+def test_prompt_answers_keep_a_view_confirmed():
+    age = polled(0.01, 20.0)
     assert age.freshness(20.0) is Freshness.CONFIRMED
     assert not age.is_aging(20.0)
 
 
-def test_no_answer_and_nothing_newer_are_told_apart():
-    age = asked(0.01, 20.0)
+def test_unanswered_queries_and_a_lost_store_are_told_apart():
+    age = polled(0.01, 20.0)
     assert age.is_aging(20.0 + AGING_THRESHOLD)
     assert age.freshness(20.0 + AGE_LIMIT) is Freshness.STALE
     lost_at = 10.0
-    age = asked(0.01, 20.0, lambda now: max(0.2, now - lost_at))
+    age = polled(0.01, 20.0, lambda now: max(0.2, now - lost_at))
     assert age.age(20.0) > DRAIN_SECONDS
     assert age.freshness(20.0) is Freshness.LATEST_KNOWN
 
 
-def test_late_answers_are_not_taken_for_an_outage_of_the_store():
-    # Nothing newer, says each, but each says what was so seconds ago.
+def test_late_answers_are_not_taken_for_a_store_outage():
+    # Each answer reports no newer version, but as of seconds ago.
     for tenths in range(10, 40):
         round_trip = tenths / 10
-        age = asked(round_trip, 60.0)
+        age = polled(round_trip, 60.0)
         assert age.freshness(60.0) is not Freshness.LATEST_KNOWN, round_trip
         if round_trip > AGE_LIMIT:
             assert age.freshness(60.0) is Freshness.STALE, round_trip
 
 
 def test_a_request_gets_there_in_time_however_slow_the_link_is():
-    # It may be on its way for as long as a question and its answer.
+    # The request may take as long as a query and its answer.
     for tenths in range(1, 40):
         round_trip = tenths / 10
-        age = asked(round_trip, 60.0)
+        age = polled(round_trip, 60.0)
         for moment in range(25):
             now = 60.0 + moment / 10
             if age.freshness(now) is Freshness.CONFIRMED:
@@ -90,7 +92,8 @@
 
 @pytest.mark.parametrize("inward", (0.0, 1.0))
 def test_a_request_gets_there_in_time_while_the_link_fills_up(inward):
-    # What goes out waits a second longer each second, and what comes in, too.
+    # The delay of outgoing bytes grows by a second each second, as may that of
+    # incoming bytes.
     pause = 0.25
     for begin in (0.0, 0.05, 0.1, 0.2):
         age = ViewAge()
@@ -110,14 +113,14 @@
                 assert reaches_upstream - age.known_until <= DRAIN_SECONDS
 
 
-def test_prompt_answers_count_for_a_while_only():
-    age = asked(0.01, 20.0, lambda now: now)
+def test_prompt_answers_keep_a_view_usable_for_a_limited_time():
+    age = polled(0.01, 20.0, lambda now: now)
     last = age.contact_at
     assert age.freshness(last + CONTACT_LIMIT) is Freshness.LATEST_KNOWN
     assert age.freshness(last + CONTACT_LIMIT + 0.01) is Freshness.STALE
 
 
-def test_a_watch_tells_nothing_before_anything_else_was_answered():
+def test_a_watch_confirms_nothing_until_a_later_call_is_answered():
     watch = WatchAge()
     watch.record_read(10.0)
     watch.begin(11.0)
@@ -125,7 +128,7 @@
     assert watch.known_until(11.5) == 11.5
 
 
-def test_a_watch_that_was_answered_tells_nothing_until_the_next_one():
+def test_an_answered_watch_confirms_nothing_until_the_next_one():
     watch = WatchAge()
     watch.record_read(10.0)
     watch.begin(11.0)
@@ -136,14 +139,14 @@
     assert watch.known_until(99.0) == 12.0
 
 
-def test_an_answer_to_a_watch_tells_at_least_what_was_when_it_was_sent():
+def test_an_answer_to_a_watch_confirms_the_time_of_its_sending():
     watch = WatchAge()
     watch.begin(11.0)
     watch.complete(contact_at=3.0)
     assert watch.known_until(3.0) == 11.0
 
 
-def test_a_router_that_follows_no_more_knows_nothing_of_its_own():
+def test_a_reset_watch_confirms_nothing():
     watch = WatchAge()
     watch.record_read(10.0)
     watch.begin(11.0)
--- a/test/test_lapses.py
+++ b/test/test_lapses.py
@@ -1,4 +1,4 @@
-"""Which upstreams are kept though their entries are gone."""
+"""Which upstreams are retained while their entries are missing."""
 
 from rowanport.gateway.expired_entries import EXPIRY_GRACE
 from rowanport.gateway.expired_entries import MAX_CALL_SECONDS
@@ -21,71 +21,71 @@
     return {upstream.id: upstream for upstream in upstreams}
 
 
-def heard_each(contact, begin, end, pause=0.3):
-    """Let the store answer now and then for some time."""
+def record_answers(availability, begin, end, pause=0.3):
+    """Record an answer of the store every ``pause`` seconds."""
     now = begin
     while now < end:
-        contact.record_answer(now)
+        availability.record_answer(now)
         now += pause
 
 
-def test_what_goes_while_the_store_answers_others_was_removed():
-    contact = StoreAvailability()
-    heard_each(contact, 10.0, 20.0)
-    assert not contact.may_have_expired(20.0)
+def test_an_entry_missing_while_the_store_answers_was_removed():
+    availability = StoreAvailability()
+    record_answers(availability, 10.0, 20.0)
+    assert not availability.may_have_expired(20.0)
 
 
-def test_what_goes_in_an_outage_for_all_or_soon_after_may_have_lapsed():
-    contact = StoreAvailability()
-    heard_each(contact, 10.0, 20.0)
+def test_an_entry_missing_in_an_outage_or_soon_after_may_have_expired():
+    availability = StoreAvailability()
+    record_answers(availability, 10.0, 20.0)
     back = 20.0 + MIN_EXPIRY_OUTAGE
-    assert contact.may_have_expired(back)
-    heard_each(contact, back, back + 4.0)
-    contact = StoreAvailability()
-    heard_each(contact, 10.0, 20.0)
-    contact.record_answer(back)
-    assert contact.may_have_expired(back + 0.9 * EXPIRY_GRACE)
+    assert availability.may_have_expired(back)
+    record_answers(availability, back, back + 4.0)
+    availability = StoreAvailability()
+    record_answers(availability, 10.0, 20.0)
+    availability.record_answer(back)
+    assert availability.may_have_expired(back + 0.9 * EXPIRY_GRACE)
     later = back + EXPIRY_GRACE + MAX_CALL_SECONDS
-    heard_each(contact, back, later)
-    assert not contact.may_have_expired(later + 0.1)
+    record_answers(availability, back, later)
+    assert not availability.may_have_expired(later + 0.1)
 
 
-def test_answers_to_calls_of_an_outages_last_second_hide_no_outage():
-    contact = StoreAvailability()
-    heard_each(contact, 10.0, 20.0)
+def test_calls_sent_in_the_last_second_of_an_outage_do_not_hide_it():
+    availability = StoreAvailability()
+    record_answers(availability, 10.0, 20.0)
     back = 20.0 + MIN_EXPIRY_OUTAGE
-    contact.record_answer(back - 1.0)
-    contact.record_answer(back)
-    assert contact.may_have_expired(back + 0.1)
+    availability.record_answer(back - 1.0)
+    availability.record_answer(back)
+    assert availability.may_have_expired(back + 0.1)
 
 
-def test_older_news_of_the_store_change_nothing():
-    contact = StoreAvailability()
-    heard_each(contact, 10.0, 20.0)
-    contact.record_answer(8.0)
-    contact.merge(15.0, 16.0)
-    assert (contact.since, contact.until > 19.0) == (10.0, True)
+def test_merging_an_older_span_changes_nothing():
+    availability = StoreAvailability()
+    record_answers(availability, 10.0, 20.0)
+    availability.record_answer(8.0)
+    availability.merge(15.0, 16.0)
+    assert (availability.since, availability.until > 19.0) == (10.0, True)
 
 
-def test_who_heard_of_nobody_learns_that_there_was_no_outage():
-    # A router on a full link: neither the store nor a peer answered it.
-    contact = StoreAvailability()
-    heard_each(contact, 10.0, 20.0)
-    contact.record_answer(26.0)
-    assert contact.may_have_expired(26.1)
-    contact.merge(26.1 - 9.0, 26.1)
-    assert not contact.may_have_expired(26.2)
+def test_a_cut_off_router_learns_that_there_was_no_outage():
+    # Its link was congested: neither the store nor a peer answered.
+    availability = StoreAvailability()
+    record_answers(availability, 10.0, 20.0)
+    availability.record_answer(26.0)
+    assert availability.may_have_expired(26.1)
+    availability.merge(26.1 - 9.0, 26.1)
+    assert not availability.may_have_expired(26.2)
 
 
-def test_a_peer_that_heard_of_the_same_outage_disproves_nothing():
-    contact = StoreAvailability()
-    heard_each(contact, 10.0, 20.0)
-    contact.record_answer(26.0)
-    contact.merge(25.9, 26.1)
-    assert contact.may_have_expired(26.2)
+def test_a_peer_that_saw_the_same_outage_does_not_disprove_it():
+    availability = StoreAvailability()
+    record_answers(availability, 10.0, 20.0)
+    availability.record_answer(26.0)
+    availability.merge(25.9, 26.1)
+    assert availability.may_have_expired(26.2)
 
 
-def test_a_guess_brings_nothing_back():
+def test_a_lapsing_upstream_that_was_dropped_stays_dropped():
     retained = RetainedUpstreams()
     newer = by_name(upstream("one"), upstream("two", lapsing=True))
     taken = retained.apply(newer, by_name(upstream("one")), 10.0)
@@ -93,7 +93,7 @@
     assert retained.pop_overdue(10.0 + 2 * EXPIRY_GRACE) == []
 
 
-def test_a_guess_ends_by_itself_however_often_it_is_heard():
+def test_a_lapsing_upstream_is_dropped_in_time_however_often_it_is_listed():
     retained = RetainedUpstreams()
     known = by_name(upstream("one"), upstream("two"))
     newer = by_name(upstream("one"), upstream("two", lapsing=True))
@@ -105,7 +105,7 @@
     assert retained.pop_overdue(10.0 + EXPIRY_GRACE) == []
 
 
-def test_an_entry_that_is_back_is_no_guess_any_more():
+def test_an_upstream_whose_entry_returns_is_not_dropped():
     retained = RetainedUpstreams()
     known = by_name(upstream("one"))
     known = retained.apply(by_name(upstream("one", lapsing=True)), known, 10.0)
@@ -114,11 +114,11 @@
     assert retained.pop_overdue(10.0 + 2 * EXPIRY_GRACE) == []
 
 
-def test_what_a_router_concludes_is_older_than_the_stores_next_word():
-    concluded = UpstreamList(100, [upstream("one")], step=1)
-    assert UpstreamList(100).version < concluded.version
-    assert concluded.version < UpstreamList(101).version
-    packed = ChangeLog().delta(NO_LIST, concluded).pack()
+def test_a_step_of_a_router_is_older_than_the_next_revision():
+    stepped = UpstreamList(100, [upstream("one")], step=1)
+    assert UpstreamList(100).version < stepped.version
+    assert stepped.version < UpstreamList(101).version
+    packed = ChangeLog().delta(NO_LIST, stepped).pack()
     read = UpstreamDelta.unpack(packed).apply(UpstreamList())
-    assert read.version == concluded.version
-    assert read.upstreams == concluded.upstreams
+    assert read.version == stepped.version
+    assert read.upstreams == stepped.upstreams
