--- a/test/test_last_check.py
+++ b/test/test_last_check.py
@@ -1,4 +1,4 @@
-"""Upstreams that leave while a request for them waits."""
+"""Upstreams that leave while a request to them waits."""
 
 import asyncio
 from test.platform_world import Platform
@@ -7,7 +7,7 @@
 
 
 def leave(platform, name):
-    """Put a list in force in which an upstream leaves."""
+    """Apply a list in which an upstream leaves."""
     known = platform.gateway.upstreams
     for upstream in known.upstreams.values():
         upstream.leaving = upstream.leaving or upstream.id == name
@@ -17,12 +17,12 @@
     )
 
 
-def waits(coroutine_function, meanwhile):
-    """Return a coroutine function after which something has happened."""
+def then(coroutine_function, callback):
+    """Return a coroutine function that calls the callback at its end."""
 
     async def wait(*args, **options):
         result = await coroutine_function(*args, **options)
-        meanwhile(*args)
+        callback(*args)
         return result
 
     return wait
@@ -34,7 +34,7 @@
 
 
 async def ask_while_one_leaves(platform, path, request_id):
-    """Send a request whose first upstream leaves as a connection opens."""
+    """Send a request whose first upstream leaves while it connects."""
     client = platform.gateway.client
     names = names_at(platform)
     left = []
@@ -45,13 +45,13 @@
             leave(platform, names[address])
 
     connect = client._connect
-    client._connect = waits(connect, leave_first)
+    client._connect = then(connect, leave_first)
     answer = await platform.ask(path, request_id)
     client._connect = connect
     return answer, left
 
 
-def test_a_request_whose_upstream_left_meanwhile_goes_to_another():
+def test_a_request_whose_upstream_left_goes_to_another():
     async def run():
         async with Platform() as platform:
             for path in ("/once/", "/safe/"):
@@ -86,7 +86,7 @@
     return not any(upstream.leaving for upstream in listed)
 
 
-def test_a_connection_to_an_upstream_that_left_is_kept_and_gets_no_byte():
+def test_nothing_is_sent_on_a_connection_to_an_upstream_that_left():
     async def run():
         async with Platform() as platform:
             _answer, left = await ask_while_one_leaves(
@@ -100,7 +100,7 @@
     asyncio.run(run())
 
 
-def test_a_request_is_refused_with_a_promise_if_all_left_meanwhile():
+def test_a_request_is_refused_as_not_executed_if_all_upstreams_left():
     async def run():
         async with Platform() as platform:
             client = platform.gateway.client
@@ -109,7 +109,7 @@
                 for upstream in platform.upstreams:
                     leave(platform, upstream.name)
 
-            client._connect = waits(client._connect, leave_all)
+            client._connect = then(client._connect, leave_all)
             answer = await platform.ask("/once/")
             assert answer.status == 503
             assert platform.runs == []
@@ -117,7 +117,7 @@
     asyncio.run(run())
 
 
-def test_a_request_that_waited_for_a_permit_meets_no_upstream_that_left():
+def test_a_request_that_waited_for_a_permit_avoids_an_upstream_that_left():
     async def run():
         async with Platform() as platform:
             limits = platform.gateway.limits
@@ -128,7 +128,7 @@
                     left.append(state.record.id)
                     leave(platform, state.record.id)
 
-            limits.acquire = waits(limits.acquire, leave_first)
+            limits.acquire = then(limits.acquire, leave_first)
             answer = await platform.ask("/once/")
             assert answer.status == 200
             ran = [u.name for u in platform.upstreams if u.heads]
--- a/test/test_views.py
+++ b/test/test_views.py
@@ -1,4 +1,4 @@
-"""Views of configuration and upstreams, asked from peers."""
+"""Views of the configuration and upstreams that are polled from peers."""
 
 import asyncio
 import json
@@ -21,7 +21,7 @@
 
 
 class SlowPeers:
-    """Peers of which some never answer and the others answer late."""
+    """Peers of which some never answer, and the others after a delay."""
 
     def __init__(self, silent, delay):
         self.silent = silent
@@ -41,7 +41,7 @@
 
 
 class FewMembers:
-    """Two ready peers, the one that is asked first before the other."""
+    """Two ready peers whose order alternates with each call."""
 
     knows_peers = True
 
@@ -61,7 +61,7 @@
 
 
 class Table:
-    """What is needed of a RoutingTable."""
+    """The part of a RoutingTable that Views uses."""
 
     def __init__(self, data):
         self.version = int(data)
@@ -78,8 +78,8 @@
     return views
 
 
-def learn(silent, delay, seconds):
-    """Return the version in force after some seconds."""
+def poll_for(silent, delay, seconds):
+    """Return the active version after some seconds of polling."""
     loop = VirtualLoop()
     asyncio.set_event_loop(loop)
     members = FewMembers()
@@ -92,19 +92,18 @@
     return members.version
 
 
-def test_a_peer_that_is_silent_holds_up_nobody():
-    assert learn({"silent"}, 0.002, 0.6) == 7
+def test_an_unresponsive_peer_does_not_delay_polls_of_others():
+    assert poll_for({"silent"}, 0.002, 0.6) == 7
 
 
-def test_a_late_answer_is_taken():
-    # Found on the bench: a router with a congested link gave up each question
-    # after a second, and sent a request to an upstream that had been leaving
-    # for 3 s.
-    assert learn((), 1.5, 2.5) == 7
+def test_a_late_answer_is_applied():
+    # With a time-out of 1 s, a router on a congested link abandoned each poll,
+    # and sent a request to an upstream that had been leaving for 3 s.
+    assert poll_for((), 1.5, 2.5) == 7
 
 
 class OnePeer:
-    """A peer that answers at once."""
+    """A peer that answers polls at once."""
 
     def __init__(self, views):
         self._views = views
@@ -116,34 +115,34 @@
         return self._views.handle(message)
 
 
-# What happened: with 86 routers on links of 10 Mbit/s, eight requests were
-# refused although their routes had been in force for 4 s, and eight reached an
-# upstream that had been leaving for 3 s.  Sequence: 26 routers are cut off; of
-# those that follow the store four still take changes; the configuration has
-# 240 routes and changes three times in four seconds; each of the four serves
-# one asker each 0.1 s, so of the version that the store confirmed at 21.2 s
-# one router heard at 23.0 s and the last at 26.4 s (config_in_force), and all
-# questions waited behind those bytes (link_congested 831 times in 28 s).
-# Cause: the whole configuration went out as it is.
+# Guards against sending the configuration uncompressed.  With 86 routers on
+# links of 10 Mbit/s, 26 of them cut off, a configuration of 240 routes changed
+# three times in 4 s.  Four store watchers still received changes, and each
+# sent the configuration to one peer every 0.1 s.  A version that the store
+# confirmed at 21.2 s became active in one other router at 23.0 s and in the
+# last at 26.4 s (config_in_force); all polls queued behind those bytes
+# (link_congested 831 times in 28 s).  Eight requests were refused although
+# their routes had been active for 4 s, and eight reached an upstream that had
+# been leaving for 3 s.
 
 
 def large_config():
-    """Return a configuration of as many routes as the users' have."""
+    """Return a configuration with as many routes as users have."""
     routes = [route(f"/path-{n}/", "idempotent") for n in range(240)]
     return json.dumps(config(version=9, routes=routes)).encode()
 
 
-def test_a_configuration_costs_few_bytes_between_routers():
+def test_the_configuration_is_sent_compressed():
     loop = VirtualLoop()
     data = large_config()
-    giver = make_views(loop, FewMembers(), None, decode_config)
-    giver.apply_config(data, "store")
-    give = giver.handle(ViewAsk(0, 0, "asker", 0.0, 0, NO_NEWS, [], 0))
+    sender = make_views(loop, FewMembers(), None, decode_config)
+    sender.apply_config(data, "store")
+    give = sender.handle(ViewAsk(0, 0, "asker", 0.0, 0, NO_NEWS, [], 0))
     assert len(give.config_data) * 10 < len(data)
     loop.close()
 
 
-def test_a_configuration_passes_from_router_to_router():
+def test_a_configuration_is_forwarded_between_routers():
     loop = VirtualLoop()
     first = make_views(loop, FewMembers(), None, decode_config)
     first.apply_config(large_config(), "store")
@@ -157,7 +156,7 @@
 
 
 class UnreadablePeer:
-    """A peer that hands on bytes that are no configuration."""
+    """A peer that sends bytes that are no configuration."""
 
     def last_trip(self, address):
         return 0.0
@@ -166,7 +165,7 @@
         return ViewGive(9, b"{}", 0, b"", 0.0, [], NO_NEWS, [], 0, 0, 0, 0)
 
 
-def test_bytes_that_cannot_be_read_change_nothing():
+def test_an_unreadable_configuration_is_ignored():
     loop = VirtualLoop()
     views = make_views(loop, FewMembers(), UnreadablePeer(), decode_config)
     loop.run_until_complete(views.ask("peer"))
--- a/test/test_young_views.py
+++ b/test/test_young_views.py
@@ -1,7 +1,8 @@
-"""Which calls to the store a router makes that just started.
+"""Which store calls a router makes right after its start.
 
-Each start of 18 routers took 8.5 calls of the store (by price): each listed
-and watched all for itself, and its watches returned as the others started.
+Guards against each starting router listing and watching everything itself:
+its watches returned whenever another router started, and each start of 18
+routers took 8.5 store calls (by price).
 """
 
 import asyncio
@@ -44,14 +45,14 @@
 
 
 class WellReach:
-    """A store that was never away."""
+    """The reachability of a store that was never out."""
 
     in_doubt = False
     back_at = None
 
 
 class OldStore:
-    """A store of which each answer may be old, but names its newest state."""
+    """A store whose stale answers name the newest revision all the same."""
 
     def __init__(self):
         self.calls = []
@@ -77,15 +78,15 @@
 
 
 @pytest.mark.parametrize(
-    "seeds, duties",
+    "seeds, expected",
     (
         ([], [True, True, True]),
         (["own", "other"], [True, True, True]),
         (["other"], [False, True, True]),
     ),
 )
-def test_seeds_follow_the_store_from_the_start_and_others_do_not(
-    seeds, duties
+def test_only_seeds_watch_the_store_right_after_the_first_start(
+    seeds, expected
 ):
     loop = VirtualLoop()
     asyncio.set_event_loop(loop)
@@ -96,16 +97,16 @@
     loop.run_until_complete(asyncio.sleep(DISCOVERY_SECONDS))
     found.append(views.watches_store)
     loop.close()
-    assert found == duties
+    assert found == expected
 
 
 @pytest.mark.parametrize("count", (6, 19))
-def test_a_router_of_a_fleet_that_ran_before_follows_the_store_at_once(count):
-    # What happened: a router restarted while all others were cut off from the
-    # store.  It asked these for 9 s, and refused requests of a route that the
-    # store had confirmed 4.2 s before (404); it was the only one that could
-    # have known.  And where all lost power together nobody has anything newer
-    # to tell: two seconds by old views cost a fleet of seven .03 of worth.
+def test_a_router_of_a_fleet_that_ran_before_watches_the_store_at_once(count):
+    # A router restarted while all others were cut off from the store.  It
+    # polled them for 9 s, and answered 404 for a route that the store had
+    # confirmed 4.2 s before, though only it could reach the store.  If all
+    # routers lose power together, no peer has newer views either: 2 s with
+    # stale views cost a fleet of seven .03 of worth.
     loop = VirtualLoop()
     asyncio.set_event_loop(loop)
     listed = [f"10.0.1.{number}:1" for number in range(count)]
@@ -118,7 +119,7 @@
 
 
 @pytest.mark.parametrize("source", (ConfigSource, UpstreamSource))
-def test_a_router_that_asks_others_reads_once_what_may_be_old(source):
+def test_a_router_that_polls_peers_reads_the_store_once_and_stale(source):
     loop = VirtualLoop()
     asyncio.set_event_loop(loop)
     members = SeededMembers(["other"])
@@ -136,8 +137,8 @@
 
 
 @pytest.mark.parametrize("first", ("store", "peer"))
-def test_an_old_list_of_upstreams_hides_no_newer_one_of_a_peer(first):
-    # An answer that is seconds old may say how new the store is by now.
+def test_a_stale_list_does_not_hide_a_newer_one_of_a_peer(first):
+    # A stale answer names the newest revision of the store.
     loop = VirtualLoop()
     asyncio.set_event_loop(loop)
     members = SeededMembers(["other"])
