--- a/test/test_headers.py
+++ b/test/test_headers.py
@@ -1,13 +1,11 @@
-"""Which headers reach an upstream, and which the caller."""
+"""Which headers are forwarded to upstreams, and which to callers."""
 
-# What happened: on a first play of a deployment where callers send headers
-# that are the system's own, 67 to 109 requests a day ran with a caller's
-# Hold, Pin-Ms, Kv-Backup or Kv-From.  Sequence: a caller sends such a header
-# with an ordinary request; the gateway passes on all headers but the few that
-# it sets itself; the upstream takes the header for an order of the router and
-# reserves memory, copies it elsewhere or goes on from another run's.  Cause:
-# the gateway dropped what it sets today, not what is the system's to set.
-# Settled by the upstreams' own record of the headers they ran with.
+# Guards against forwarding headers that only routers may set.  The gateway
+# dropped just the headers that it set itself.  Callers sent Hold, Pin-Ms,
+# Kv-Backup or Kv-From with ordinary requests, and the upstream took them for
+# orders of the router: it reserved memory, copied it elsewhere or continued
+# from another run's.  By the upstreams' own records of headers, 67 to 109
+# requests a day ran with such a header.
 
 import asyncio
 import itertools
@@ -28,8 +26,8 @@
 from rowanport.platform.words import DIALECT
 from rowanport.web.server import HttpRequest
 
-# What the pages name as the system's to set, each with a value that works.
-SYSTEMS_OWN = (
+# Headers that are documented as set by routers only, with valid values.
+ROUTER_HEADERS = (
     ("Hold", "h-1"),
     ("Pin-Ms", "4000"),
     ("Kv-Backup", "10.0.0.1:80"),
@@ -41,8 +39,8 @@
     ("X-Rowanport-Expect-Instance", "elsewhere"),
     ("X-Rowanport-Tenant", "another"),
 )
-# What a caller may say, and what nobody has heard of.
-CALLERS_OWN = (
+# Headers that a caller may set, and unknown ones.
+CALLER_HEADERS = (
     ("X-Rowanport-Request-Id", "r1"),
     ("X-Rowanport-Model", "m"),
     ("X-Rowanport-Token-Count", "100,30"),
@@ -68,7 +66,7 @@
     ("Transfer-Encoding", "chunked"),
 )
 CASES = (str, str.lower, str.upper, str.swapcase)
-# Upstreams that read headers as CGI variables take these for the same name.
+# Upstreams that read headers as CGI variables do not distinguish these.
 SPELLINGS = (str, lambda name: name.replace("-", "_"))
 
 
@@ -91,7 +89,7 @@
 
 dropped_rows = strategies.builds(
     spell,
-    strategies.sampled_from(SYSTEMS_OWN + (("Api-Key", "key"),)),
+    strategies.sampled_from(ROUTER_HEADERS + (("Api-Key", "key"),)),
     strategies.sampled_from(CASES),
     strategies.sampled_from(SPELLINGS),
 ) | strategies.builds(
@@ -102,7 +100,7 @@
 )
 callers_rows = strategies.builds(
     spell,
-    strategies.sampled_from(CALLERS_OWN),
+    strategies.sampled_from(CALLER_HEADERS),
     strategies.sampled_from(CASES),
     strategies.just(str),
 )
@@ -120,15 +118,15 @@
     assert passed == encode([row for callers, row in rows if callers])
 
 
-@pytest.mark.parametrize("name", [name for name, _value in SYSTEMS_OWN])
-def test_no_header_of_the_systems_own_passes(name):
+@pytest.mark.parametrize("name", [name for name, _value in ROUTER_HEADERS])
+def test_no_router_header_of_a_caller_is_forwarded(name):
     spellings = itertools.product(CASES, SPELLINGS)
     fields = [spell((name, "1"), *pair) for pair in spellings]
     assert filter_request(fields) == []
 
 
-def test_headers_that_the_caller_calls_hop_by_hop_are_dropped():
-    # Only the last Connection header was read.
+def test_headers_named_in_connection_headers_are_dropped():
+    # Guards against reading only the last Connection header.
     fields = [
         ("Connection", "close, X-One"),
         ("X-One", "1"),
@@ -139,16 +137,16 @@
     assert filter_request(fields) == encode([("X-Three", "3")])
 
 
-def test_what_the_router_decided_by_cannot_be_called_hop_by_hop():
-    # The router would set tokens aside by a count that the upstream does not
-    # see, and send the request under a host that was not asked for.
-    kept = [row for row in CALLERS_OWN if row[0].startswith("X-Rowanport")]
+def test_headers_by_which_routers_decide_cannot_be_hop_by_hop():
+    # The router would reserve tokens by a count that the upstream does not
+    # see, and send the request with a host that the caller did not name.
+    kept = [row for row in CALLER_HEADERS if row[0].startswith("X-Rowanport")]
     kept += [("Host", "feed.example"), ("Length-Hint", "17")]
     named = ("Connection", ", ".join(name for name, _value in kept))
     assert filter_request([named, *kept]) == encode(kept)
 
 
-def test_an_answer_keeps_what_is_the_callers():
+def test_an_answer_keeps_the_headers_for_the_caller():
     kept = [
         ("X-Rowanport-Request-Id", "r1"),
         ("X-Rowanport-Server-Stamp", "stamp"),
@@ -171,13 +169,13 @@
 
 
 @scenario
-async def test_an_upstream_runs_without_a_callers_orders(platform):
-    orders = {name.replace("-", "_"): value for name, value in SYSTEMS_OWN}
+async def test_an_upstream_gets_no_router_header_of_a_caller(platform):
+    orders = {name.replace("-", "_"): value for name, value in ROUTER_HEADERS}
     await platform.ask("/safe/", length_hint="17", **orders)
     stream = await platform.stream("/stream/", "r2")
     await read_events(stream)
     plain, generation = platform.runs
-    own = {name.lower() for name, _value in SYSTEMS_OWN}
+    own = {name.lower() for name, _value in ROUTER_HEADERS}
     set_here = {"x-rowanport-tenant", "x-rowanport-expect-instance"}
     assert own & plain.keys() == set_here
     assert plain["x-rowanport-tenant"] == "org"
@@ -188,7 +186,7 @@
 
 
 @scenario
-async def test_trailers_of_a_callers_body_reach_no_upstream(platform):
+async def test_trailers_of_a_request_are_not_forwarded(platform):
     answer, _seconds = await raw(
         platform,
         b"POST /safe/ HTTP/1.1\r\nhost: feed.example\r\n"
@@ -203,8 +201,9 @@
 
 
 @scenario
-async def test_a_count_that_is_billed_reaches_the_upstream(platform):
-    # With "Connection: X-Rowanport-Token-Count" it was read, and not sent.
+async def test_a_token_count_that_is_billed_reaches_the_upstream(platform):
+    # With "Connection: X-Rowanport-Token-Count" the router used the count, but
+    # did not forward it.
     answer = await platform.ask(
         "/stream/",
         connection="x-rowanport-token-count, x-mine",
@@ -218,11 +217,14 @@
 
 
 class AnsweringClient:
-    """Answers each request with one status and the marks that are due."""
+    """Answers each request with one status and the required headers.
 
-    def __init__(self, status, **marks):
+    :param extra: further headers, with "_" in place of "-"
+    """
+
+    def __init__(self, status, **extra):
         self._status = status
-        self._marks = marks
+        self._extra = extra
 
     async def request(self, *_request, check):
         answer = types.SimpleNamespace(
@@ -232,7 +234,7 @@
                 DIALECT.signature: "stamp",
                 **{
                     name.replace("_", "-"): v
-                    for name, v in self._marks.items()
+                    for name, v in self._extra.items()
                 },
             },
             close=lambda: None,
@@ -253,13 +255,14 @@
     return asyncio.run(exchange.send(job, upstream, None))
 
 
-# Found by reading: an upstream's 408, 429 or 503 that lacks its mark of "not
-# run" was passed on as it came.  To a caller these statuses are a promise, so
-# it repeats what may not be repeated, although the upstream promised nothing.
+# Guards against forwarding an upstream's 408, 429 or 503 without a
+# not-executed header.  From these statuses a caller concludes that nothing
+# ran, and repeats a request that must not be repeated, although the upstream
+# may have run it.
 
 
 @pytest.mark.parametrize("status", (408, 429, 503))
-def test_a_refusal_without_its_mark_may_have_run(status):
+def test_a_refusal_without_a_not_executed_header_may_have_run(status):
     with pytest.raises(UpstreamError) as failure:
         send_to(AnsweringClient(status))
     assert failure.value.started
@@ -267,11 +270,11 @@
 
 
 @pytest.mark.parametrize("status", (400, 408, 429, 503))
-def test_a_refusal_with_its_mark_has_not_run(status):
+def test_a_refusal_with_a_not_executed_header_has_not_run(status):
     with pytest.raises(NotExecuted):
         send_to(AnsweringClient(status, x_rowanport_not_executed="1"))
 
 
 @pytest.mark.parametrize("status", (200, 302, 400, 404, 500, 504))
-def test_other_answers_are_the_upstreams_own(status):
+def test_other_answers_are_forwarded(status):
     assert send_to(AnsweringClient(status)).status == status
--- a/test/test_old_views.py
+++ b/test/test_old_views.py
@@ -1,4 +1,4 @@
-"""Upstreams that leave while routers cannot hear of it in time."""
+"""Upstreams that leave while a congested link delays the update."""
 
 import asyncio
 from test.platform_world import config
@@ -14,21 +14,21 @@
 from rowanport.standins.upstream import UpstreamStandin
 from rowanport.web import HttpClient
 
-# Seconds after the store's word from which on no new work may reach an
+# Seconds after a change in the store by which no new request may reach an
 # upstream that leaves.
 DRAIN_SECONDS = 3.0
-# Seconds within which news reach all routers, whatever their links carry.
-NEWS_SECONDS = 1.5
-# More routers than those that follow the store for all.
+# Seconds within which an update reaches all routers, also on full links.
+UPDATE_SECONDS = 1.5
+# More routers than there are store watchers.
 FLEET_SIZE = 10
-# Requests at once before a link fills: each opens a connection, and these are
-# kept.
+# Concurrent requests before a link is congested, so that connections to all
+# upstreams are open.
 WARM_UP = 30
 PAUSE = 0.2
 
 
 class TimedUpstream(UpstreamStandin):
-    """An upstream that notes when requests begin to run."""
+    """An upstream that records when requests begin to run."""
 
     def __init__(self, name):
         super().__init__(name)
@@ -70,13 +70,13 @@
         await asyncio.sleep(2.0)
 
     async def write(self, upstream, state):
-        """Write an upstream's entry; return the time of the store's word."""
+        """Write an upstream's entry; return the time of the write."""
         entry = upstream.entry(state=state)
         await self.fleet.store.put(f"servers/{upstream.name}", entry)
         return asyncio.get_running_loop().time()
 
     async def ask(self, host, path="/open/"):
-        """Send a request to a router; note and return its status."""
+        """Send a request to a router; record and return its status."""
         headers = [
             ("host", HOST_NAME),
             (ID_HEADER, f"r{len(self._tasks)}"),
@@ -98,20 +98,20 @@
         self._tasks.append(asyncio.ensure_future(self.ask(host)))
 
     async def ask_on(self, host, seconds):
-        """Send a request now and again for some time."""
+        """Send a request every PAUSE seconds for some time."""
         for _number in range(int(seconds / PAUSE)):
             self.begin(host)
             await asyncio.sleep(PAUSE)
 
     async def wait(self):
-        """Wait for all answers; return the statuses since the last time."""
+        """Wait for all answers; return the statuses since the last wait."""
         await asyncio.gather(*self._tasks)
         self._tasks.clear()
         statuses, self.statuses = self.statuses, []
         return statuses
 
     async def warm_up(self, host):
-        """Let a router keep connections to all upstreams."""
+        """Let a router open connections to all upstreams."""
         for _number in range(WARM_UP):
             self.begin(host)
         assert set(await self.wait()) == {200}
@@ -139,18 +139,20 @@
     return test
 
 
-def followers_and_others(fleet):
-    """Return the hosts that follow the store, and the others."""
-    duty = [h for h in fleet.hosts if fleet.gateways[h]._views.watches_store]
-    return duty, [host for host in fleet.hosts if host not in duty]
+def watchers_and_others(fleet):
+    """Return the hosts that watch the store, and the others."""
+    watchers = [
+        h for h in fleet.hosts if fleet.gateways[h]._views.watches_store
+    ]
+    return watchers, [host for host in fleet.hosts if host not in watchers]
 
 
 @service_test
-async def test_a_router_with_a_full_link_sends_nothing_to_who_left(
+async def test_a_router_on_a_full_link_sends_nothing_to_a_leaving_upstream(
     fleet, service
 ):
-    duty, others = followers_and_others(fleet)
-    for host, leaving in ((others[0], 0), (duty[0], 1)):
+    watchers, others = watchers_and_others(fleet)
+    for host, leaving in ((others[0], 0), (watchers[0], 1)):
         upstream = service.upstreams[leaving]
         await service.warm_up(host)
         fleet.net.fill(host, inward=3.1, outward=0.05)
@@ -161,7 +163,7 @@
         statuses = await service.wait()
         late = [at - left_at for at in upstream.run_at]
         assert max(late) < DRAIN_SECONDS
-        # Who is not served is told so, and may go elsewhere.
+        # Requests that are not served are refused, for other routers to serve.
         assert set(statuses) <= {200, 503}
         fleet.net.fill(host)
         await asyncio.sleep(5.0)
@@ -170,10 +172,8 @@
 
 
 @service_test
-async def test_a_router_on_its_own_serves_nothing_by_an_old_list(
-    fleet, service
-):
-    _duty, others = followers_and_others(fleet)
+async def test_an_isolated_router_is_not_ready(fleet, service):
+    _watchers, others = watchers_and_others(fleet)
     host = others[0]
     await service.warm_up(host)
     fleet.net.fill(host, inward=30.0)
@@ -186,7 +186,7 @@
 
 
 @service_test
-async def test_an_outage_of_the_store_stops_no_router(fleet, service):
+async def test_all_routers_serve_during_a_store_outage(fleet, service):
     for fault in ("silent", "reset"):
         fleet.store.fault = fault
         for _number in range(40):
@@ -200,9 +200,9 @@
 
 
 @service_test
-async def test_news_of_who_leaves_pass_a_full_link(fleet, service):
-    duty, others = followers_and_others(fleet)
-    for host in (others[0], duty[0]):
+async def test_updates_arrive_in_time_on_a_full_link(fleet, service):
+    watchers, others = watchers_and_others(fleet)
+    for host in (others[0], watchers[0]):
         gateway = fleet.gateways[host]
         fleet.net.fill(host, inward=0.6, outward=0.6)
         await asyncio.sleep(8.0)
@@ -212,7 +212,7 @@
             while _is_leaving(gateway) != (state == "draining"):
                 await asyncio.sleep(0.01)
             now = asyncio.get_running_loop().time()
-            assert now - left_at < NEWS_SECONDS
+            assert now - left_at < UPDATE_SECONDS
             await asyncio.sleep(0.31)
         fleet.net.fill(host)
         await asyncio.sleep(5.0)
@@ -223,8 +223,8 @@
 
 
 @service_test
-async def test_who_asked_lately_is_told_without_asking_again(fleet, service):
-    _duty, others = followers_and_others(fleet)
+async def test_peers_that_polled_recently_are_pushed_updates(fleet, service):
+    _watchers, others = watchers_and_others(fleet)
     gateways = [fleet.gateways[host] for host in others]
     with mock.patch.object(Views, "_next_sources", lambda views: []):
         await service.write(service.upstreams[0], "draining")
@@ -233,17 +233,17 @@
 
 
 @service_test
-async def test_a_router_with_an_old_view_calls_no_route_unknown(
+async def test_a_router_with_stale_views_calls_no_route_unknown(
     fleet, service
 ):
-    _duty, others = followers_and_others(fleet)
+    _watchers, others = watchers_and_others(fleet)
     gateway = fleet.gateways[others[0]]
     assert await service.ask(others[0], "/nowhere/") == 404
     fleet.net.fill(others[0], inward=30.0)
     await asyncio.sleep(3.0)
     assert gateway.views.freshness.stale
     fleet.net.fill(others[0])
-    # The first answers take a while; what was asked is as old as before.
+    # The answers take a while to arrive; until then the views are as stale.
     assert await service.ask(others[0], "/nowhere/") == 503
     await asyncio.sleep(5.0)
     assert await service.ask(others[0], "/nowhere/") == 404
--- a/test/test_returned_entries.py
+++ b/test/test_returned_entries.py
@@ -1,26 +1,26 @@
-"""An upstream whose entry went, and which a list names once more."""
+"""An upstream with a missing entry must not return by a stale list."""
 
 import asyncio
 from test.test_silence import fleet_test
 from test.test_silence import STORE
 from test.test_silence import UPSTREAM
 
-# Seconds after the store's word within which no router may send work to an
-# upstream that left; on a clear link it takes no time.
+# Seconds after a change in the store by which no router may send requests to
+# an upstream that left; without congestion it takes no time.
 DRAIN_SECONDS = 3.0
-# Seconds for which the store turns a router away.
+# Seconds for which a router cannot reach the store.
 AWAY_SECONDS = 7.0
-# More routers than those that follow the store for all.
+# More routers than there are store watchers.
 FLEET_SIZE = 10
 
 
-def followers(fleet):
-    """Return the hosts of the routers that follow the store."""
+def store_watchers(fleet):
+    """Return the hosts of the routers that watch the store."""
     return [h for h in fleet.hosts if fleet.gateways[h]._views.watches_store]
 
 
-def who_lists(fleet, name):
-    """Return the hosts of the routers that send work to an upstream."""
+def hosts_listing(fleet, name):
+    """Return the hosts of the routers that list an upstream."""
     return [
         host
         for host, gateway in fleet.gateways.items()
@@ -29,7 +29,7 @@
 
 
 async def change_others(fleet, seconds):
-    """Change other entries meanwhile, as upstreams that start do."""
+    """Write entries of other upstreams for some time, as starts do."""
     for number in range(int(seconds / 0.1)):
         await fleet.store.put(f"servers/new-{number % 3}", _entry(number))
         await asyncio.sleep(0.1)
@@ -40,56 +40,60 @@
 
 
 @fleet_test(FLEET_SIZE)
-async def test_an_entry_that_went_is_not_brought_back_by_who_was_away(fleet):
+async def test_a_removed_entry_is_not_restored_by_routers_that_were_cut_off(
+    fleet,
+):
     for number in range(6):
         name = f"leaver-{number}"
         await fleet.store.put(f"servers/{name}", UPSTREAM)
-        away = followers(fleet)[:2]
+        away = store_watchers(fleet)[:2]
         for host in away:
             fleet.net.cut(host, STORE)
         await change_others(fleet, AWAY_SECONDS)
         for host in away:
             fleet.net.join(host, STORE)
-        # At another moment of the routers' return each time.
+        # At a different time after the routers' return in each round.
         await change_others(fleet, 0.2 * number)
         await fleet.store.remove(f"servers/{name}")
         await change_others(fleet, DRAIN_SECONDS)
-        assert who_lists(fleet, name) == []
+        assert hosts_listing(fleet, name) == []
 
 
 @fleet_test(FLEET_SIZE)
-async def test_entries_that_lapse_for_all_are_kept_by_all(fleet):
+async def test_all_routers_retain_entries_that_expire_in_an_outage(fleet):
     for length in (2.5, 4.0, 8.0):
         await fleet.store.put("servers/lapser", UPSTREAM)
         await asyncio.sleep(5.0)
         await fleet.remove_in_outage("lapser", length)
         for _look in range(90):
             await asyncio.sleep(0.02)
-            assert who_lists(fleet, "lapser") == fleet.hosts, length
+            assert hosts_listing(fleet, "lapser") == fleet.hosts, length
         await fleet.store.put("servers/lapser", UPSTREAM)
         await asyncio.sleep(5.0)
-        assert who_lists(fleet, "lapser") == fleet.hosts
+        assert hosts_listing(fleet, "lapser") == fleet.hosts
         await fleet.store.remove("servers/lapser")
         await asyncio.sleep(DRAIN_SECONDS)
-        assert who_lists(fleet, "lapser") == []
+        assert hosts_listing(fleet, "lapser") == []
 
 
 @fleet_test(FLEET_SIZE)
-async def test_entries_that_stay_missing_after_an_outage_go_everywhere(fleet):
+async def test_all_routers_drop_entries_that_stay_missing_after_an_outage(
+    fleet,
+):
     await fleet.store.put("servers/lapser", UPSTREAM)
     await asyncio.sleep(5.0)
     await fleet.remove_in_outage("lapser", 4.0)
     await change_others(fleet, 5.0)
-    assert who_lists(fleet, "lapser") == []
+    assert hosts_listing(fleet, "lapser") == []
 
 
 @fleet_test(FLEET_SIZE)
-async def test_who_heard_of_nobody_keeps_nothing_that_was_removed(fleet):
-    # On a full link a follower hears neither the store nor a peer.
+async def test_an_isolated_router_retains_no_removed_entry(fleet):
+    # A store watcher on a full link gets answers of neither store nor peers.
     for number in range(4):
         name = f"leaver-{number}"
         await fleet.store.put(f"servers/{name}", UPSTREAM)
-        host = followers(fleet)[number % 3]
+        host = store_watchers(fleet)[number % 3]
         others = [other for other in fleet.hosts if other != host]
         await change_others(fleet, 2.0)
         fleet.net.cut(host, STORE)
@@ -99,7 +103,7 @@
         await change_others(fleet, 2.5)
         await fleet.store.remove(f"servers/{name}")
         await change_others(fleet, DRAIN_SECONDS + 0.1 * number)
-        # Its peers hear of it later than the store.
+        # It reaches its peers again later than the store.
         fleet.net.join(host, STORE)
         gateway = fleet.gateways[host]
         for look in range(60):
@@ -114,7 +118,7 @@
 
 
 def usable(gateway):
-    """Return the ids of the upstreams that a router may send work to."""
+    """Return the ids of the upstreams to which a router may send requests."""
     freshness = gateway.views.freshness
     if freshness.stale:
         return set()
