--- a/test/test_stopping.py
+++ b/test/test_stopping.py
@@ -1,13 +1,14 @@
-"""What a router takes while it stops, and what becomes of it."""
-
-# What happened: streams were taken 5.2 and 5.9 s after SIGTERM and cut in the
-# middle.  A router of three in its data centre got the signal at 3.55 s and
-# said that it is not ready.  Others of the fleet were stopped at 2.45, 4.65
-# and 5.75 s, so that from 6.89 s on fewer than half of the data centre's
-# routers were ready; the balancer then uses all of them again, those that
-# stop as well.  Nothing bounded what a stopping router takes: it sent streams
-# on at 8.72, 9.43 and 10.36 s, was never idle, and gave all up at the end of
-# the grace period (``gateway_stopped busy=4`` at 10.76 s).
+"""Which requests a router accepts during its shutdown, and their ends."""
+
+# Guards against a stopping router that accepts requests without a limit.  One
+# of three routers of a data centre got the signal at 3.55 s and reported that
+# it was not ready.  Three others of the fleet were stopped at 2.45, 4.65 and
+# 5.75 s, so that from 6.89 s on fewer than half of the data centre's routers
+# were ready; the load balancer then uses all of them again, also those that
+# stop.  The router accepted streams 5.2 and 5.9 s after the signal, sent
+# streams to upstreams at 8.72, 9.43 and 10.36 s, was never idle, and cut all
+# of them at the end of the grace period (``gateway_stopped busy=4`` at
+# 10.76 s).
 
 import asyncio
 import functools
@@ -35,8 +36,8 @@
 GRACE = 8.0
 # Seconds between two requests of a caller that never pauses.
 PAUSE = 0.05
-# Seconds after the signal at which a router no longer lets callers linger.
-LINGERED = 3.3
+# Seconds after the signal by which a router is deregistered.
+DEREGISTERED = 3.3
 # Seconds that a caller waits for an answer.
 WAIT = 5.0
 
@@ -62,7 +63,7 @@
 
 
 async def outcome(asking):
-    """Return what a caller may conclude from the answer to a request."""
+    """Return the outcome of a request as its caller sees it."""
     try:
         answer = await asking
     except UpstreamError:
@@ -97,20 +98,20 @@
 
 
 def sent(platform):
-    """Return the number of requests that upstreams have in hand."""
+    """Return the number of requests in flight at upstreams."""
     states = platform.gateway.pool.candidates("feed", (), 0.0)
     return sum(state.outstanding for state in states)
 
 
 def check_none_cut(platform, outcomes):
-    """Check that each was answered whole, or never ran."""
+    """Check that each request was answered completely or never ran."""
     assert set(outcomes.values()) <= {"whole", "refused", "unanswered"}
     whole = {name for name, end in outcomes.items() if end == "whole"}
     assert run_ids(platform) & set(outcomes) == whole
 
 
 class RawCaller:
-    """A caller that sends bytes as it likes on one connection."""
+    """A caller that sends arbitrary bytes on one connection."""
 
     def __init__(self, address):
         self._address = address
@@ -128,7 +129,7 @@
         await self._writer.drain()
 
     async def read_answer(self):
-        """Return status and headers of an answer, its body read as well."""
+        """Read an answer with its body; return status and headers."""
         async with asyncio.timeout(20):
             head = await self._reader.readuntil(b"\r\n\r\n")
             first, *rest = head.decode().strip().split("\r\n")
@@ -153,13 +154,13 @@
 
 
 async def answer_late(upstream, connection, writer, names, body):
-    """Run a request, and begin its answer a while later."""
+    """Run a request after a pause of 0.3 s."""
     await asyncio.sleep(0.3)
     await upstream._do_ok(connection, writer, names, body)
 
 
 async def hold_open(platform, name="held"):
-    """Begin a stream that lasts beyond the linger; return its outcome."""
+    """Begin a stream that outlasts deregistration; return its outcome."""
     first = platform.upstreams[0]
     for upstream in platform.upstreams:
         upstream.pause = 0.8
@@ -167,7 +168,7 @@
     assert answer.status == 200
     for upstream in platform.upstreams:
         upstream.pause = 0.01
-    assert first.events * 0.8 > LINGERED
+    assert first.events * 0.8 > DEREGISTERED
 
     async def give():
         return answer
@@ -175,12 +176,12 @@
     return asyncio.ensure_future(outcome(give()))
 
 
-# What is taken.  The route is public: what draws on a budget may be refused
-# for want of tokens, which a stopping router hands over.
+# Which requests are accepted.  The route is public, since a request that is
+# paid from a budget may be refused for lack of tokens, which are handed off.
 
 
 @scenario
-async def test_a_router_that_is_sent_streams_all_along_cuts_none(platform):
+async def test_a_steady_flow_of_streams_during_a_stop_is_not_cut(platform):
     for upstream in platform.upstreams:
         upstream.pause = 0.1
     stopping = begin_stop(platform)
@@ -194,17 +195,17 @@
 
 
 @scenario
-async def test_a_request_is_not_taken_while_the_router_hands_over(platform):
-    handed = platform.gateway.budgets.hand_off
+async def test_a_request_is_refused_during_the_handoff(platform):
+    hand_off = platform.gateway.budgets.hand_off
     calls = []
 
-    async def hand_over_slowly():
+    async def hand_off_slowly():
         calls.append(platform)
         if len(calls) > 1:
             await asyncio.sleep(0.6)
-        await handed()
+        await hand_off()
 
-    platform.gateway.budgets.hand_off = hand_over_slowly
+    platform.gateway.budgets.hand_off = hand_off_slowly
     for upstream in platform.upstreams:
         upstream.pause = 0.3
     stopping = begin_stop(platform)
@@ -216,7 +217,7 @@
 
 
 class Others:
-    """Members of which some others may be ready."""
+    """A Membership with configurable ready peers."""
 
     def __init__(self):
         self.ready = ["another"]
@@ -225,8 +226,8 @@
         return self.ready
 
 
-class Asked:
-    """What a GracefulStop sees of a job."""
+class FakeJob:
+    """The part of a Job that a GracefulStop uses."""
 
     def __init__(self, clock, seconds, service="feed"):
         self.arrived = clock.steady()
@@ -236,7 +237,7 @@
 
 
 class Stop:
-    """A GracefulStop on a clock that is moved by hand."""
+    """A GracefulStop with a manual clock."""
 
     def __init__(self):
         self.clock = ManualClock()
@@ -244,8 +245,8 @@
         self.state = GracefulStop(self.others, self.clock)
 
     def take(self, seconds, service="feed"):
-        """Take a job that has some seconds; return it."""
-        job = Asked(self.clock, seconds, service)
+        """Accept a job with a time-out in seconds; return it."""
+        job = FakeJob(self.clock, seconds, service)
         self.state.accept(job)
         return job
 
@@ -256,17 +257,17 @@
         return refused.value
 
 
-def test_after_the_linger_only_what_surely_ends_is_taken():
+def test_after_deregistration_only_jobs_that_end_in_time_are_accepted():
     stop = Stop()
     held = stop.take(12.0)
     stop.state.begin(GRACE)
-    lingering = stop.take(12.0)
+    deregistering = stop.take(12.0)
     stop.clock.now += stops.DEREGISTRATION_SECONDS + 0.1
     assert stop.refusal(12.0).come_back_at is None
     late = stop.take(1.0)
     stop.state.release(held)
-    stop.state.release(lingering)
-    # A stream that it waited for is over: such requests prolong it no more.
+    stop.state.release(deregistering)
+    # No earlier job is in flight any more, so no further one is accepted.
     stop.refusal(1.0)
     assert not stop.state.finished
     stop.state.release(late)
@@ -274,7 +275,7 @@
     assert stop.state.refused == 2
 
 
-def test_a_stop_of_an_idle_router_ends_with_the_linger():
+def test_an_idle_router_stops_at_deregistration():
     stop = Stop()
     stop.state.begin(GRACE)
     assert not stop.state.finished
@@ -282,7 +283,7 @@
     assert stop.state.finished
 
 
-def test_what_surely_ends_has_to_end_before_the_cut():
+def test_a_late_job_has_to_end_before_the_cutoff():
     stop = Stop()
     stop.take(12.0)
     stop.state.begin(GRACE)
@@ -291,7 +292,7 @@
     stop.take(0.5)
 
 
-def test_with_no_time_left_not_even_the_linger_takes_a_request():
+def test_a_job_that_cannot_end_in_time_is_refused_before_deregistration():
     stop = Stop()
     slow = stop.take(12.0, "slow")
     stop.clock.now += 6.0
@@ -304,11 +305,11 @@
     stop.take(1.0, "slow")
 
 
-def test_a_send_that_hardly_ends_before_the_cut_is_not_made():
+def test_a_send_that_would_not_end_before_the_cutoff_is_refused():
     stop = Stop()
-    usual = stop.take(12.0)
+    earlier = stop.take(12.0)
     stop.clock.now += 1.0
-    stop.state.record_complete(usual)
+    stop.state.record_complete(earlier)
     stop.state.begin(GRACE)
     job = stop.take(12.0)
     stop.state.check_send(job)
@@ -322,7 +323,7 @@
     assert repeated.value.kind is ErrorKind.CUT_BY_STOP
 
 
-def test_callers_come_back_soon_if_others_are_ready_else_when_one_is():
+def test_callers_retry_at_once_if_others_are_ready_else_after_a_restart():
     stop = Stop()
     stop.state.begin(GRACE)
     stop.clock.now += stops.DEREGISTRATION_SECONDS + 0.1
@@ -332,7 +333,7 @@
     assert back == stop.clock.now + stops.RESTART_SECONDS
 
 
-def test_a_short_grace_leaves_time_for_what_is_taken_last():
+def test_a_short_grace_period_leaves_time_for_the_last_accepted_jobs():
     stop = Stop()
     stop.state.begin(3.0)
     assert stop.state.deregistered_at < stop.state.cutoff_at - 1.0
@@ -342,9 +343,10 @@
 
 
 @pytest.mark.parametrize("grace", [3.0, 4.0, 5.0, 8.0, 30.0])
-def test_nothing_is_cut_before_the_last_sixth_of_the_grace(grace):
-    # Up to there an upstream that works on is no reason to cut its answer.
-    # With a grace of 3 s answers were cut after 2.0 s, with 5 s after 4.0 s.
+def test_nothing_is_cut_before_the_last_sixth_of_the_grace_period(grace):
+    # Before that, an upstream that is still running is no reason to cut its
+    # answer.  With a grace period of 3 s answers were cut after 2.0 s, with
+    # one of 5 s after 4.0 s.
     stop = Stop()
     begun_at = stop.clock.steady()
     stop.state.begin(grace)
@@ -356,15 +358,15 @@
 
 
 @scenario
-async def test_a_head_that_is_half_read_is_no_idle_connection(platform):
+async def test_a_connection_with_a_partial_head_is_not_idle(platform):
     caller = RawCaller(platform.callers)
     await caller.open()
     held = await hold_open(platform)
     stopping = begin_stop(platform)
-    # A head may take 3 s: the rest comes within that time.
+    # The time-out of a head is 3 s; the rest arrives within that time.
     await asyncio.sleep(1.5)
     await caller.send(head_of("half")[:-2])
-    await asyncio.sleep(LINGERED - 1.5)
+    await asyncio.sleep(DEREGISTERED - 1.5)
     await caller.send(b"\r\n")
     status, fields = await caller.read_answer()
     assert status == (200 if "half" in run_ids(platform) else 503)
@@ -375,7 +377,7 @@
 
 
 @scenario
-async def test_a_body_that_is_half_read_when_the_linger_ends_is_answered(
+async def test_a_partial_body_at_deregistration_is_answered(
     platform,
 ):
     caller = RawCaller(platform.callers)
@@ -383,7 +385,7 @@
     await caller.send(head_of("half", size=8) + b"ques")
     held = await hold_open(platform)
     stopping = begin_stop(platform)
-    # A body may take 3 s: the rest comes within that time.
+    # The time-out of a body is 3 s; the rest arrives within that time.
     await asyncio.sleep(1.0)
     second = RawCaller(platform.callers)
     await second.open()
@@ -391,7 +393,7 @@
     await caller.send(b"tion")
     status, _fields = await caller.read_answer()
     assert status == 200
-    await asyncio.sleep(LINGERED - 1.0)
+    await asyncio.sleep(DEREGISTERED - 1.0)
     await second.send(b"tion")
     status, fields = await second.read_answer()
     assert status == (200 if "late" in run_ids(platform) else 503)
@@ -436,7 +438,7 @@
 
 
 @scenario
-async def test_what_is_still_running_at_the_end_is_answered_if_it_can_be(
+async def test_a_running_request_is_answered_at_the_end_of_the_grace_period(
     platform,
 ):
     platform.gateway.settings.stop_grace = 3.0
@@ -448,7 +450,7 @@
     platform.gateway.table.find_route(HOST, "/open/").timeout = 9.0
     await platform.wait(lambda: run_ids(platform) == {"run"})
     await begin_stop(platform)
-    # It may have run: neither a promise nor a closed connection.
+    # It may have run, so the answer must not say that it was not executed.
     assert await asking in (502, 504)
 
 
@@ -468,11 +470,11 @@
     await stopping
 
 
-# The own interface
+# The caller server of a router without a platform
 
 
 class StoppingRouter:
-    """What a CallerServer sees of a router that stops."""
+    """The part of a stopping router that a CallerServer uses."""
 
     def __init__(self):
         self.stopping = False
@@ -480,7 +482,7 @@
         self.metrics = Metrics()
 
 
-async def own_front(router):
+async def start_server(router):
     """Return a CallerServer that listens, and a raw caller of it."""
     (port,) = free_ports(1)
     settings = types.SimpleNamespace(
@@ -493,53 +495,53 @@
         ),
         scheduling=types.SimpleNamespace(retry_after=1.0),
     )
-    front = CallerServer(router, settings)
-    await front.start("127.0.0.1", port)
+    server = CallerServer(router, settings)
+    await server.start("127.0.0.1", port)
     caller = RawCaller(f"127.0.0.1:{port}")
     await caller.open()
-    return front, caller
+    return server, caller
 
 
-def test_the_own_interface_closes_what_it_refuses_in_a_stop():
-    # What happened: a refused caller was not told that the connection goes,
-    # and sent its next request into the close.
+def test_the_caller_server_closes_connections_that_it_refuses_in_a_stop():
+    # Guards against a refusal without "connection: close", after which the
+    # caller sent its next request on a closing connection.
     async def run():
         router = StoppingRouter()
-        front, caller = await own_front(router)
+        server, caller = await start_server(router)
         await caller.send(head_of("first"))
         status, fields = await caller.read_answer()
         assert (status, fields.get("connection")) == (404, None)
         router.stopping = True
-        front.drain()
+        server.drain()
         await caller.send(head_of("second"))
         status, fields = await caller.read_answer()
         assert (status, fields["connection"]) == (503, "close")
         caller.close()
-        await front.close()
+        await server.close()
 
     asyncio.run(run())
 
 
-def test_the_own_interface_answers_a_head_that_is_half_read():
-    # What happened: a request of which a part had come did not count as in
-    # hand, and a stop dropped it without an answer.
+def test_the_caller_server_answers_a_partial_head():
+    # Guards against not counting partially received requests as in flight: a
+    # stop dropped them without an answer.
     async def run():
         router = StoppingRouter()
-        front, caller = await own_front(router)
+        server, caller = await start_server(router)
         await caller.send(head_of("half")[:-2])
-        while not front.busy:
+        while not server.busy:
             await asyncio.sleep(0.01)
         router.stopping = True
-        front.drain()
-        finishing = asyncio.ensure_future(front.finish(5.0))
+        server.drain()
+        finishing = asyncio.ensure_future(server.finish(5.0))
         await asyncio.sleep(0.1)
         await caller.send(b"\r\n")
         status, _fields = await caller.read_answer()
         assert status == 503
         await finishing
-        assert front.busy == 0
+        assert server.busy == 0
         caller.close()
-        await front.close()
+        await server.close()
 
     asyncio.run(run())
 
@@ -548,16 +550,16 @@
 
 
 @scenario
-async def test_a_router_that_stops_with_all_others_follows_the_store(platform):
-    # What happened: a router that leaves is no follower of the store, and
-    # asks others only while they are ready.  When all stopped together none
-    # learned of a change, while they served for up to 7 s.
+async def test_a_router_that_stops_with_all_others_watches_the_store(platform):
+    # A leaving router is not chosen to watch the store, and polls only ready
+    # peers.  When all routers stopped at the same time, none learned of a
+    # change while they served for up to 7 s.
     views = platform.gateway._views
     views._started -= 2 * DISCOVERY_SECONDS
     assert not views.starting_up and views.watches_store
     held = await hold_open(platform)
     stopping = begin_stop(platform)
-    # A question to the store that is open already still has its answer.
+    # A watch that is open already still returns the first change.
     for version in (9, 10):
         await platform.store.put("op/config", config(version=version))
         await platform.wait(lambda: views.table.version == version, 4.0)
