--- a/rowanport/gateway/blocklist.py
+++ b/rowanport/gateway/blocklist.py
@@ -28,7 +28,7 @@
 LOAD_DELAY = 0.5
 # Seconds that each further router in the rendezvous order waits for the ones
 # before it to write a blocked request.
-TURN_SECONDS = 2.0
+RANK_DELAY = 2.0
 # Consecutive writes that are tried after conflicts with other routers.
 MAX_CONFLICTS = 4
 
@@ -109,10 +109,10 @@
             self._loaded = True
             rows = unpack_blocked(self._value.data, self._clock.wall())
             self._crashes.sync.receive(SuspectNews(0, rows))
-        if self._due():
+        if self._must_save():
             await self._save()
 
-    def _due(self):
+    def _must_save(self):
         """Return whether this router is to write the record now.
 
         Each blocked request is written by the first available router in an
@@ -120,12 +120,12 @@
         """
         now = self._clock.steady()
         return self._outdated or any(
-            now >= suspect.changed_at + self._turn(suspect) * TURN_SECONDS
+            now >= suspect.changed_at + self._rank(suspect) * RANK_DELAY
             for suspect in self._crashes.table.suspects
             if suspect.blocked and not suspect.stored
         )
 
-    def _turn(self, suspect):
+    def _rank(self, suspect):
         """Return the position of this router in the order for a Suspect."""
         routers = [address_of(other) for other in self._members.live_peers()]
         routers.append(self._address)
--- a/rowanport/gateway/load_history.py
+++ b/rowanport/gateway/load_history.py
@@ -1,4 +1,4 @@
-"""Buffers recent LoadNotes of a large fleet for the routers that poll."""
+"""Buffers recent LoadNotes, for which routers of a large fleet poll."""
 
 import collections
 
--- a/rowanport/gateway/load_sync.py
+++ b/rowanport/gateway/load_sync.py
@@ -32,7 +32,7 @@
 # Half-life in seconds of the moving rate of sends that determines the sample
 # size.
 RATE_HALF_LIFE = 5.0
-RATE_LEAST_AGE = 2.0
+MIN_RATE_AGE = 2.0
 
 
 class LoadSync:
@@ -55,24 +55,24 @@
         self._address = address
         self._history = LoadHistory(clock)
         self._polled_until = clock.steady()
-        self._rate = DecayingRate(RATE_HALF_LIFE, RATE_LEAST_AGE)
+        self._rate = DecayingRate(RATE_HALF_LIFE, MIN_RATE_AGE)
 
-    def record_send(self, state, prefix, unread):
+    def record_send(self, state, prefix, uncached):
         """Record a send of this router and announce it to peers.
 
         :param state: UpstreamState of the engine
         :param prefix: hash of the shared prompt
-        :param unread: prompt tokens of the request that the engine has to read
+        :param uncached: prompt tokens of the request that have to be read
         :returns: prompt tokens that the engine has to read in all, those of
             the request included
         """
         now = self._clock.steady()
-        if unread >= MIN_ANNOUNCED_TOKENS:
-            note = LoadNote(state.record.id, prefix, unread, self._address)
+        if uncached >= MIN_ANNOUNCED_TOKENS:
+            note = LoadNote(state.record.id, prefix, uncached, self._address)
             self._peers.tell(self._recipients(now), note)
             self._history.add(note)
         self._prefixes.record(prefix, state.record.id, now)
-        return state.backlog.add(unread, now)
+        return state.backlog.add(uncached, now)
 
     def _recipients(self, now):
         """Count an announcement; return the addresses that receive it."""
--- a/rowanport/gateway/retry_policy.py
+++ b/rowanport/gateway/retry_policy.py
@@ -18,8 +18,8 @@
 class RetryPolicy:
     """Rules for retries and hedges of Jobs.
 
-    A retry follows a failed send.  A hedge is a second run of a job while the
-    first one is unresponsive.
+    A retry follows a failed send.  A hedge is another run of a job while the
+    earlier ones are unresponsive.
 
     :param gateway: the Gateway, for its parts
     """
@@ -43,7 +43,7 @@
         """Reserve the tokens for a hedge and acquire a retry.
 
         The two runs together may generate more than the job's maximum, so all
-        tokens that the first run may still generate are reserved again.
+        tokens that the earlier run may still generate are reserved again.
 
         :param job: the Job
         :param responder: the Responder of its caller
--- a/rowanport/suspects/isolation.py
+++ b/rowanport/suspects/isolation.py
@@ -1,4 +1,4 @@
-"""Selects upstreams such that suspects run isolated from other requests.
+"""Selects upstreams such that suspects are isolated from other requests.
 
 If two suspects run on the same upstream, its crash counts against both.  So a
 suspect is sent to an upstream with as few other suspects as possible.  One
@@ -24,19 +24,19 @@
     :param now: monotonic time in seconds
     :returns: UpstreamStates, at least one
     """
-    own = crashes(fingerprint)
-    if not own:
+    crash_count = crashes(fingerprint)
+    if not crash_count:
         return _avoid_likely_crashes(candidates, crashes, runs, now)
     weights = {
         state: _weight(state, fingerprint, crashes, runs, now)
         for state in candidates
     }
-    least = min(weights.values())
-    isolated = [state for state in candidates if weights[state] == least]
-    if own < LIKELY_CRASHES:
+    lowest = min(weights.values())
+    isolated = [state for state in candidates if weights[state] == lowest]
+    if crash_count < LIKELY_CRASHES:
         return isolated
-    idle = min(state.outstanding for state in isolated)
-    return [state for state in isolated if state.outstanding == idle]
+    fewest = min(state.outstanding for state in isolated)
+    return [state for state in isolated if state.outstanding == fewest]
 
 
 def _avoid_likely_crashes(candidates, crashes, runs, now):
--- a/rowanport/suspects/table.py
+++ b/rowanport/suspects/table.py
@@ -20,8 +20,8 @@
 # them is blocked: the upstreams then crash whatever they run.
 STORM_REQUESTS = 10
 STORM_SECONDS = 60.0
-# Seconds after a request is blocked until all requests that ran beside it are
-# known.
+# Seconds after a request reaches the threshold until all requests that ran
+# beside it are known.
 SETTLE_SECONDS = 2.0
 # Seconds after the last crash until a request expires: one that reached the
 # threshold, and one that did not.
@@ -50,7 +50,7 @@
     :ivar source: peer address of the router that saw the last change
     :ivar stored: whether the record in the store contains it
     :ivar changed_at: monotonic time of the last change at this router
-    :ivar forget_at: monotonic time at which it expires
+    :ivar expires_at: monotonic time at which it expires
     """
 
     __slots__ = (
@@ -61,7 +61,7 @@
         "source",
         "stored",
         "changed_at",
-        "forget_at",
+        "expires_at",
         "_digest",
     )
 
@@ -73,7 +73,7 @@
         self.source = ""
         self.stored = False
         self.changed_at = 0.0
-        self.forget_at = 0.0
+        self.expires_at = 0.0
         self._digest = 0
 
     @property
@@ -115,7 +115,7 @@
     def refresh(self, now):
         """Update the digest and the expiry after a change."""
         self.changed_at = now
-        self.forget_at = self._forget_at(now)
+        self.expires_at = self._expiry(now)
         self._digest = 0
         if self.uncleared_crashes:
             runs = " ".join(sorted(self.crashes))
@@ -124,7 +124,7 @@
                 f"{self.fingerprint}\0{runs}\0{cleared}\0{self.stored}"
             )
 
-    def _forget_at(self, now):
+    def _expiry(self, now):
         if not self.uncleared_crashes:
             return now + CLEARED_SECONDS
         keep = SUSPECT_SECONDS if self.threshold_at is None else KEEP_SECONDS
@@ -288,7 +288,7 @@
 
     def expire(self, now):
         """Remove and return the Suspects that have expired."""
-        old = [s for s in self._suspects.values() if s.forget_at <= now]
+        old = [s for s in self._suspects.values() if s.expires_at <= now]
         for suspect in old:
             self._remove(suspect)
         return old
--- a/test/test_choice.py
+++ b/test/test_choice.py
@@ -52,7 +52,7 @@
     def tell(self, addresses, note):
         for address in addresses:
             self.announced.append(note)
-            self.routers[address].notes.receive(note)
+            self.routers[address].load_sync.receive(note)
 
 
 class FakeMembers:
@@ -86,7 +86,7 @@
         )
         self.prefixes = PrefixMap()
         self.choice = PrefixChoice("hall-0", self.prefixes)
-        self.notes = LoadSync(
+        self.load_sync = LoadSync(
             self.pool,
             self.prefixes,
             peers,
@@ -102,7 +102,7 @@
         candidates = self.pool.candidates(SERVICE, (), now)
         state = self.choice.choose(candidates, job, now)
         unread = self.choice.uncached_tokens(state, job, now)
-        self.notes.record_send(state, job.prefix, unread)
+        self.load_sync.record_send(state, job.prefix, unread)
         return state.record.id
 
 
@@ -362,7 +362,7 @@
 
 
 def test_an_announcement_of_an_unlisted_upstream_is_ignored(router):
-    router.notes.apply(LoadNote("gone", 1, 5000, "peer"))
+    router.load_sync.apply(LoadNote("gone", 1, 5000, "peer"))
     assert all(
         router.pool.get(name).backlog.tokens(100.0) == 0 for name in ENGINES
     )
--- a/test/test_load_digest.py
+++ b/test/test_load_digest.py
@@ -35,7 +35,7 @@
             others = [f"x/{other}/1" for other in names if other != name]
             router = FakeRouter(clock, self.peers, name, others)
             self.routers[name] = router
-        self.watchers = store_watchers(self.routers["r0"].notes._members)
+        self.watchers = store_watchers(self.routers["r0"].load_sync._members)
         self.others = [name for name in names if name not in self.watchers]
 
     def backlog(self, name, engine):
@@ -55,8 +55,8 @@
     engine = send(fleet.routers[sender])
     assert fleet.backlog(asker, engine) == 0
     watcher = fleet.routers[fleet.watchers[0]]
-    for note in watcher.notes.recent(0.25, asker):
-        fleet.routers[asker].notes.apply(note)
+    for note in watcher.load_sync.recent(0.25, asker):
+        fleet.routers[asker].load_sync.apply(note)
     assert fleet.backlog(asker, engine) == MIN_ANNOUNCED_TOKENS
 
 
@@ -65,25 +65,27 @@
     sender, asker = fleet.others[:2]
     send(fleet.routers[sender])
     watcher = fleet.routers[fleet.watchers[0]]
-    assert not watcher.notes.recent(0.25, sender)
-    asks = fleet.routers[asker].notes
+    assert not watcher.load_sync.recent(0.25, sender)
+    asks = fleet.routers[asker].load_sync
     clock.now += 0.25
     assert 0 < asks.advance_poll_window() <= 0.25
     clock.now += 0.25
-    assert not watcher.notes.recent(asks.advance_poll_window(), asker)
+    assert not watcher.load_sync.recent(asks.advance_poll_window(), asker)
 
 
 def test_routers_with_direct_announcements_do_not_poll(clock):
     fleet = LargeFleet(clock)
     small = FakeRouter(clock, fleet.peers, "alone", ["x/r1/1"])
     clock.now += 0.25
-    assert fleet.routers[fleet.watchers[0]].notes.advance_poll_window() == 0
-    assert small.notes.advance_poll_window() == 0
+    assert (
+        fleet.routers[fleet.watchers[0]].load_sync.advance_poll_window() == 0
+    )
+    assert small.load_sync.advance_poll_window() == 0
 
 
 def test_an_answer_is_limited_to_the_largest_prompts(clock):
     fleet = LargeFleet(clock)
-    watcher = fleet.routers[fleet.watchers[0]].notes
+    watcher = fleet.routers[fleet.watchers[0]].load_sync
     for number in range(5 * ANSWER_LIMIT):
         watcher.receive(
             LoadNote("e1", number, MIN_ANNOUNCED_TOKENS + number, "r")
@@ -120,9 +122,9 @@
     fleet = LargeFleet(clock)
     sender, asker = fleet.others[:2]
     answering = make_views(loop, FewMembers(), None)
-    answering.loads = fleet.routers[fleet.watchers[0]].notes
+    answering.loads = fleet.routers[fleet.watchers[0]].load_sync
     asking = make_views(loop, FewMembers(), Answerer(answering))
-    asking.loads = fleet.routers[asker].notes
+    asking.loads = fleet.routers[asker].load_sync
     clock.now += 0.1
     engine = send(fleet.routers[sender])
     clock.now += 0.1
