--- a/test/test_silence_races.py
+++ b/test/test_silence_races.py
@@ -557,9 +557,7 @@
 
 
 @race_test()
-async def test_a_run_that_hangs_within_an_event_delays_no_other(
-    scene,
-):
+async def test_a_run_that_hangs_within_an_event_delays_no_other(scene):
     # The second run sends half an event and then hangs; the first continues
     # 0.2 s later.
     request, first, (other,) = await scene.begin()
