--- a/rowanport/membership/members.py
+++ b/rowanport/membership/members.py
@@ -185,8 +185,8 @@
         Contacting it directly keeps a large cell from suspecting a router
         whose heartbeats merely were not forwarded in time.
         """
-        fresh = [member for member in self._live_members() if member.same_cell]
-        return min(fresh or near, key=lambda member: member.heartbeat_at)
+        live = [member for member in self._live_members() if member.same_cell]
+        return min(live or near, key=lambda member: member.heartbeat_at)
 
     def _make_message(self):
         """Return a Gossip of the own entry and some of live members.
--- a/rowanport/router/daemon.py
+++ b/rowanport/router/daemon.py
@@ -243,7 +243,7 @@
                 self._groups[name] = group
             group.pool.update(records, first)
             group.pool.set_leaving(self._listed_leaving)
-            group.pump()
+            group.dispatch()
 
     def _apply_instance_list(self, instances):
         self._listed_leaving = frozenset(
@@ -385,7 +385,7 @@
             for group in self._groups.values():
                 group.pool.set_routers(count)
                 group.lane.shed(group.pool.slots())
-                group.pump()
+                group.dispatch()
             await asyncio.sleep(0.5)
 
     # Start and stop
--- a/rowanport/router/runner.py
+++ b/rowanport/router/runner.py
@@ -170,8 +170,8 @@
             return False
         if error.started and not job.call.repeatable:
             return False
-        taken, job.retry_acquired = job.retry_acquired, False
-        return taken or group.retries.acquire()
+        acquired, job.retry_acquired = job.retry_acquired, False
+        return acquired or group.retries.acquire()
 
     async def _run_once(self, job, group, tried, responder):
         await self._reserve(job)
@@ -196,7 +196,7 @@
         await self._attempt(job, group, upstream, responder)
 
     async def _attempt(self, job, group, upstream, responder):
-        begun = self._router.clock.steady()
+        started_at = self._router.clock.steady()
         failed = True
         try:
             self._check_not_paused(job)
@@ -223,7 +223,7 @@
             self._end_in_background(job, upstream.address)
             raise
         finally:
-            seconds = self._router.clock.steady() - begun
+            seconds = self._router.clock.steady() - started_at
             group.release(upstream, job.size, seconds, failed)
 
     def _check_not_paused(self, job):
@@ -249,11 +249,11 @@
             job.reservation, job.next_reservation = job.next_reservation, None
             return
         call = job.call
-        begun = self._router.clock.steady()
+        started_at = self._router.clock.steady()
         job.reservation = await self._router.ledger.reserve(
             call.request, call.budget, job.cost, call.deadline
         )
-        seconds = self._router.clock.steady() - begun
+        seconds = self._router.clock.steady() - started_at
         self._router.metrics.reserve.observe({}, seconds)
 
     async def _start(self, job, upstream):
@@ -266,12 +266,12 @@
         """
         if job.reservation is None:
             return
-        begun = self._router.clock.steady()
-        for _attempt_number in range(START_ATTEMPTS):
+        started_at = self._router.clock.steady()
+        for _number in range(START_ATTEMPTS):
             if await self._router.ledger.start(
                 job.reservation, upstream.address
             ):
-                seconds = self._router.clock.steady() - begun
+                seconds = self._router.clock.steady() - started_at
                 self._router.metrics.start.observe({}, seconds)
                 return
             self._release(job)
@@ -313,7 +313,7 @@
         self._tasks.spawn(self._end_failed_run(failed_job, address))
 
     async def _end_failed_run(self, job, address):
-        for _attempt_number in range(END_RUN_ATTEMPTS):
+        for _number in range(END_RUN_ATTEMPTS):
             try:
                 run, tokens = await self.end_run(job, address)
             except UpstreamError:
--- a/rowanport/scheduling/group.py
+++ b/rowanport/scheduling/group.py
@@ -63,7 +63,7 @@
             lambda error: _fail(pending, error),
         )
         self.lane.enter(ticket, self.pool.slots())
-        self.pump()
+        self.dispatch()
         remaining = max(0.0, call.deadline - self._clock.wall())
         try:
             await asyncio.wait({pending.future}, timeout=remaining)
@@ -85,7 +85,7 @@
         elif pending.future.exception() is None:
             self.release(pending.future.result(), 0, 0.0, failed=False)
 
-    def pump(self):
+    def dispatch(self):
         """Dispatch queued requests while upstreams have free slots."""
         while self.lane.size and self.pool.has_room():
             ticket = self.lane.next()
@@ -117,7 +117,7 @@
         self.pool.ended(upstream, failed)
         if seconds and not failed:
             self.lane.finished(size, seconds)
-        self.pump()
+        self.dispatch()
 
 
 def _fail(pending, error):
