--- a/test/test_ledger.py
+++ b/test/test_ledger.py
@@ -418,7 +418,7 @@
         yield
 
 
-def test_what_was_presumed_of_living_entries_is_taken_back():
+def test_presumptions_about_live_entry_routers_are_undone():
     run_machine(LateStartMachine, EXAMPLES)
     with presumption_never_withdrawn(), pytest.raises(AssertionError):
         run_machine(LateStartMachine, 400)
@@ -577,7 +577,7 @@
         yield
 
 
-def test_a_kill_at_any_step_takes_what_ran_and_nothing_else():
+def test_a_kill_at_any_step_debits_exactly_what_ran():
     run_machine(KillMachine, EXAMPLES)
 
 
@@ -662,7 +662,7 @@
     return sorted(routers, key=lambda router: router.incarnation != home)
 
 
-def test_what_a_home_holds_for_a_dead_entry_is_not_called_settled():
+def test_reservations_of_a_dead_entry_router_count_as_unsettled():
     # An entry router was killed while the other router of its cell was the
     # home.  The home router considers it dead only seconds later, and then
     # settles its runs.  Until then no router counted them as unsettled, as the
@@ -738,13 +738,13 @@
         world.close()
 
 
-def test_a_new_witness_that_knows_no_upstream_takes_a_run_for_unstarted():
+def test_a_new_witness_without_the_upstream_settles_the_run_as_not_started():
     with replaced_witness_told_of_no_upstream():
         with pytest.raises(AssertionError):
             test_two_kills_one_after_the_other_leave_no_run_unbilled()
 
 
-def test_a_killed_witness_of_another_cell_does_not_hold_up_the_books():
+def test_reservations_settle_after_a_witness_of_another_cell_is_killed():
     # A router alone in its cell had a witness in another cell, which was
     # killed.  Its runs were billed, but 11 of them stayed unsettled for the
     # minute in which the membership remembers the dead witness, as the witness
@@ -768,7 +768,7 @@
         world.close()
 
 
-def test_a_dead_witness_that_missed_a_release_does_not_hold_up_the_books():
+def test_reservations_settle_after_a_witness_died_that_missed_a_release():
     # The same for a reservation that was released as its witness did not
     # answer.  One and two unconfirmed ends at a killed router kept test_router
     # waiting for 31 s and 32 s, in 2 of 6 runs of the whole file.
@@ -798,7 +798,7 @@
 
 
 # Seconds after a kill within which all reservations have to be settled.
-CLOSE_BOUND = 5.0
+SETTLE_BOUND = 5.0
 
 
 def start(world, router, entry, upstream="engine"):
@@ -808,10 +808,10 @@
     return asked.result()
 
 
-def check_nothing_taken(world, killed):
+def check_nothing_spent(world, killed):
     """Kill a router; check that no tokens are spent for an unstarted run."""
     world.kill(killed)
-    world.advance(CLOSE_BOUND)
+    world.advance(SETTLE_BOUND)
     assert not world.unsettled
     assert world.spent == {BUDGET: 0}
     world.check()
@@ -829,7 +829,7 @@
         killed = home if own else other
         reserve(world, killed)
         world.advance(1.0)
-        check_nothing_taken(world, killed)
+        check_nothing_spent(world, killed)
     finally:
         world.close()
 
@@ -846,7 +846,7 @@
         asked = reserve(world, killed)
         world.advance(1.0)
         assert start(world, killed, asked.result())
-        check_nothing_taken(world, killed)
+        check_nothing_spent(world, killed)
     finally:
         world.close()
 
@@ -895,11 +895,11 @@
         asked = reserve(world, entry)
         world.advance(1.0)
         world.suspected.add(entry.incarnation)
-        world.advance(CLOSE_BOUND)
+        world.advance(SETTLE_BOUND)
         world.heal()
         assert not start(world, entry, asked.result())
         world.loop.call_soon(entry.client.release, asked.result().reservation)
-        world.advance(CLOSE_BOUND)
+        world.advance(SETTLE_BOUND)
         assert not world.unsettled
         assert world.spent == {BUDGET: 0}
         world.check()
@@ -954,7 +954,7 @@
         world.close()
 
 
-def presume_of_one_cut_off(world, own):
+def presume_spent_of_cut_off_router(world, own):
     """Let a reservation be presumed spent whose router only seems dead.
 
     :param own: whether that router is also the home router, so that the
@@ -982,7 +982,7 @@
     # The presumption must be undone, or the budget is debited twice.
     world = World(seed=1)
     try:
-        entry, reserved = presume_of_one_cut_off(world, own)
+        entry, reserved = presume_spent_of_cut_off_router(world, own)
         reservation = reserved.reservation
         world.loop.call_soon(
             entry.client.settle, reservation, "request.run", 20
@@ -1002,7 +1002,7 @@
     # first byte refuses the request and releases its reservation.
     world = World(seed=1)
     try:
-        entry, reserved = presume_of_one_cut_off(world, own)
+        entry, reserved = presume_spent_of_cut_off_router(world, own)
         reservation = reserved.reservation
         world.loop.call_soon(entry.client.release, reservation)
         world.advance(8.0)
@@ -1014,7 +1014,7 @@
         world.close()
 
 
-def test_a_home_that_was_silent_learns_of_a_release_once_it_is_back():
+def test_a_paused_home_router_gets_the_release_after_it_resumes():
     # A home router was paused with Reserve messages of another router in its
     # socket.  That router considered it dead and dropped the releases.  After
     # it resumed, the home router handled the messages and kept the tokens
@@ -1043,7 +1043,7 @@
 
 
 @pytest.mark.parametrize("wakes", (False, True), ids=("killed", "paused"))
-def test_what_a_recovered_grant_kept_for_its_runs_comes_back(wakes):
+def test_tokens_kept_of_a_recovered_grant_are_returned(wakes):
     # The grant of a dead home router was reduced to the reserved tokens of the
     # runs still in progress.  They used fewer, and the rest was never
     # returned.
@@ -1097,7 +1097,7 @@
         world.close()
 
 
-def test_what_waits_at_a_home_that_learns_of_its_recovery_is_served():
+def test_reservations_waiting_at_a_recovered_home_router_are_served():
     # The same home router, for requests of its own callers after it resumed:
     # reservations that waited for tokens of the lost grant were refused.
     world = World(seed=1)
@@ -1123,7 +1123,7 @@
         world.close()
 
 
-def test_a_caller_that_goes_away_while_it_waits_for_tokens_leaves_none():
+def test_a_caller_that_disconnects_while_reserving_leaves_no_reservation():
     # A caller disconnected while its reservation was being made.  The call was
     # cancelled, and nothing released the tokens: the entry router counted the
     # reservation as unsettled forever, the home router kept it, and a planned
@@ -1151,7 +1151,7 @@
     return [(item.role, item.peer, item.reason) for item in items]
 
 
-def test_operators_are_told_what_an_unsettled_reservation_waits_for():
+def test_unsettled_items_show_what_a_reservation_waits_for():
     # A plain count of unsettled reservations did not show which of four causes
     # kept them unsettled.  So each router lists what it holds, for which peer,
     # since when and why.
