--- a/test/test_load_digest.py
+++ b/test/test_load_digest.py
@@ -1,4 +1,4 @@
-"""News of long prompts in a fleet too large to tell all of them."""
+"""Announcements of long prompts in a fleet too large for direct messages."""
 
 import asyncio
 from test.test_choice import FakeClock
@@ -25,7 +25,7 @@
 
 
 class LargeFleet:
-    """A hundred routers, of which few hear a note at once."""
+    """A hundred routers, few of which receive a LoadNote directly."""
 
     def __init__(self, clock):
         self.peers = FakePeers()
@@ -35,8 +35,8 @@
             others = [f"x/{other}/1" for other in names if other != name]
             router = FakeRouter(clock, self.peers, name, others)
             self.routers[name] = router
-        self.leading = store_watchers(self.routers["r0"].notes._members)
-        self.others = [name for name in names if name not in self.leading]
+        self.watchers = store_watchers(self.routers["r0"].load_sync._members)
+        self.others = [name for name in names if name not in self.watchers]
 
     def backlog(self, name, engine):
         pool = self.routers[name].pool
@@ -47,60 +47,62 @@
     return router.send(make_job(shared=0, own=MIN_ANNOUNCED_TOKENS))
 
 
-def test_a_router_that_asks_hears_what_others_sent(clock):
-    # Notes went to peers with an open connection: 8 to some 60 of 194 routers,
-    # and the others sent their prompts to the same engines.
+def test_a_router_that_polls_receives_announcements(clock):
+    # When LoadNotes only went to peers with an open connection, 8 to about 60
+    # of 194 routers got them, and the others sent to the same engines.
     fleet = LargeFleet(clock)
     sender, asker = fleet.others[:2]
     engine = send(fleet.routers[sender])
     assert fleet.backlog(asker, engine) == 0
-    follower = fleet.routers[fleet.leading[0]]
-    for note in follower.notes.recent(0.25, asker):
-        fleet.routers[asker].notes.apply(note)
+    watcher = fleet.routers[fleet.watchers[0]]
+    for note in watcher.load_sync.recent(0.25, asker):
+        fleet.routers[asker].load_sync.apply(note)
     assert fleet.backlog(asker, engine) == MIN_ANNOUNCED_TOKENS
 
 
-def test_a_router_hears_nothing_of_its_own_sends_nor_twice(clock):
+def test_answers_omit_own_sends_and_are_not_repeated(clock):
     fleet = LargeFleet(clock)
     sender, asker = fleet.others[:2]
     send(fleet.routers[sender])
-    follower = fleet.routers[fleet.leading[0]]
-    assert not follower.notes.recent(0.25, sender)
-    asks = fleet.routers[asker].notes
+    watcher = fleet.routers[fleet.watchers[0]]
+    assert not watcher.load_sync.recent(0.25, sender)
+    asks = fleet.routers[asker].load_sync
     clock.now += 0.25
     assert 0 < asks.advance_poll_window() <= 0.25
     clock.now += 0.25
-    assert not follower.notes.recent(asks.advance_poll_window(), asker)
+    assert not watcher.load_sync.recent(asks.advance_poll_window(), asker)
 
 
-def test_those_that_hear_all_at_once_do_not_ask(clock):
+def test_routers_with_direct_announcements_do_not_poll(clock):
     fleet = LargeFleet(clock)
     small = FakeRouter(clock, fleet.peers, "alone", ["x/r1/1"])
     clock.now += 0.25
-    assert fleet.routers[fleet.leading[0]].notes.advance_poll_window() == 0
-    assert small.notes.advance_poll_window() == 0
+    assert (
+        fleet.routers[fleet.watchers[0]].load_sync.advance_poll_window() == 0
+    )
+    assert small.load_sync.advance_poll_window() == 0
 
 
-def test_an_answer_is_bounded_and_names_the_largest_prompts(clock):
+def test_an_answer_is_limited_to_the_largest_prompts(clock):
     fleet = LargeFleet(clock)
-    follower = fleet.routers[fleet.leading[0]].notes
+    watcher = fleet.routers[fleet.watchers[0]].load_sync
     for number in range(5 * ANSWER_LIMIT):
-        follower.receive(
+        watcher.receive(
             LoadNote("e1", number, MIN_ANNOUNCED_TOKENS + number, "r")
         )
-    notes = follower.recent(0.25, "asker")
+    notes = watcher.recent(0.25, "asker")
     assert len(notes) == ANSWER_LIMIT
     assert (
         min(note.tokens for note in notes)
         >= MIN_ANNOUNCED_TOKENS + 4 * ANSWER_LIMIT
     )
     clock.now += 5.0
-    follower.receive(LoadNote("e1", 1, MIN_ANNOUNCED_TOKENS, "r"))
-    assert len(follower.recent(10.0, "asker")) == 1
+    watcher.receive(LoadNote("e1", 1, MIN_ANNOUNCED_TOKENS, "r"))
+    assert len(watcher.recent(10.0, "asker")) == 1
 
 
 class Answerer:
-    """A peer that answers by the Views of another router."""
+    """A PeerClient whose calls are answered by another router's Views."""
 
     def __init__(self, views):
         self._views = views
@@ -114,15 +116,15 @@
         return type(answer).unpack(answer.pack())
 
 
-def test_notes_come_with_the_answers_to_questions_for_views(clock):
+def test_answers_to_view_polls_contain_announcements(clock):
     loop = VirtualLoop()
     asyncio.set_event_loop(loop)
     fleet = LargeFleet(clock)
     sender, asker = fleet.others[:2]
     answering = make_views(loop, FewMembers(), None)
-    answering.loads = fleet.routers[fleet.leading[0]].notes
+    answering.loads = fleet.routers[fleet.watchers[0]].load_sync
     asking = make_views(loop, FewMembers(), Answerer(answering))
-    asking.loads = fleet.routers[asker].notes
+    asking.loads = fleet.routers[asker].load_sync
     clock.now += 0.1
     engine = send(fleet.routers[sender])
     clock.now += 0.1
