--- a/rowanport/gateway/polling_peers.py
+++ b/rowanport/gateway/polling_peers.py
@@ -1,4 +1,4 @@
-"""Tracks which versions the polling peers know, and what was sent to them."""
+"""Tracks which versions polling peers know, and what was sent to them."""
 
 # Seconds after a peer's last poll during which changes are pushed to it.
 PUSH_WINDOW = 0.6
--- a/rowanport/gateway/stopping.py
+++ b/rowanport/gateway/stopping.py
@@ -94,7 +94,7 @@
 
     @property
     def finished(self):
-        """Return whether all accepted requests are finished."""
+        """Return whether the shutdown needs to wait for no more requests."""
         if not self.begun or self.deregistering:
             return False
         return not self._jobs and not self._late_jobs
--- a/rowanport/gateway/store_watchers.py
+++ b/rowanport/gateway/store_watchers.py
@@ -1,4 +1,4 @@
-"""Chooses the routers that watch the store for all, and who gets updates."""
+"""Chooses which routers watch the store, and which get updates at once."""
 
 from ..incarnation import address_of
 from ..membership.members import STORE_DUTY
--- a/rowanport/gateway/views.py
+++ b/rowanport/gateway/views.py
@@ -210,7 +210,10 @@
         return self.table.version if self.table else 0
 
     def handle(self, message):
-        """Answer a ViewAsk."""
+        """Return the answer to a peer's poll.
+
+        :param message: the ViewAsk
+        """
         self._clocks.observe(message.asker, message.wall)
         suspects = SuspectNews(0, [])
         age = round(1000 * self.freshness.age)
