--- a/rowanport/ledger/client.py
+++ b/rowanport/ledger/client.py
@@ -111,7 +111,7 @@
         LOG.info(
             "run_starts",
             request=reservation.request,
-            reservation_id=reservation.reservation,
+            reservation=reservation.reservation,
             upstream=upstream,
             home=reservation.home,
             witness=reservation.witness,
@@ -153,7 +153,7 @@
             return True
         LOG.info(
             "start_unrecorded",
-            reservation_id=message.reservation,
+            reservation=message.reservation,
             upstream=message.upstream,
             peer=peer,
             error=answer.detail,
