--- a/rowanport/gateway/retry_policy.py
+++ b/rowanport/gateway/retry_policy.py
@@ -11,7 +11,7 @@
 MAX_FAILED_CONNECTIONS = 6
 
 
-class RetryRefused(RowanportError):
+class HedgeDenied(RowanportError):
     """A request may not be hedged; the message is the reason."""
 
 
@@ -48,35 +48,35 @@
         :param job: the Job
         :param responder: the Responder of its caller
         :returns: the number of tokens reserved
-        :raises RetryRefused: not allowed now; nothing was reserved
+        :raises HedgeDenied: not allowed now; nothing was reserved
         """
         self._check_hedge(job, responder)
         tokens = job.remaining_tokens if job.budget is not None else 0
         if tokens:
             if not self._gateway.budgets.try_reserve(job.budget, tokens):
-                raise RetryRefused("not enough tokens for a second run")
+                raise HedgeDenied("not enough tokens for a second run")
             job.reserved += tokens
         self._acquire_retry(job)
         return tokens
 
     def _check_hedge(self, job, responder):
-        """Raise RetryRefused unless a hedge is allowed, tokens aside."""
+        """Raise HedgeDenied unless a hedge is allowed, tokens aside."""
         gateway = self._gateway
         now = gateway.clock.steady()
         if not self.may_retry(job, responder):
-            raise RetryRefused("the route allows no further run")
+            raise HedgeDenied("the route allows no further run")
         if gateway.crashes.is_suspect(job):
-            raise RetryRefused("an upstream crashed while running it")
+            raise HedgeDenied("an upstream crashed while running it")
         if self._is_rejected_too_often(job):
-            raise RetryRefused("rejected too often")
+            raise HedgeDenied("rejected too often")
         if gateway.views.freshness.stale:
-            raise RetryRefused("the list of upstreams is stale")
+            raise HedgeDenied("the list of upstreams is stale")
         if not gateway.stopping.may_send(job):
-            raise RetryRefused("too late for a send")
+            raise HedgeDenied("too late for a send")
         if not self.hedge_candidates(job):
-            raise RetryRefused("no upstream is left")
+            raise HedgeDenied("no upstream is left")
         if not self._window(job).allows(self._router_count, now):
-            raise RetryRefused("retry limit reached")
+            raise HedgeDenied("retry limit reached")
 
     def hedge_candidates(self, job):
         """Return the UpstreamStates that may run a hedge of a job.
--- a/rowanport/gateway/sender.py
+++ b/rowanport/gateway/sender.py
@@ -14,7 +14,7 @@
 from .relay import EventRelay
 from .relay import is_stream
 from .retry_policy import final_error
-from .retry_policy import RetryRefused
+from .retry_policy import HedgeDenied
 
 # Share of the remaining time after which a repeatable request without an
 # answer is hedged, that is, sent to another upstream as well.
@@ -338,7 +338,7 @@
         job.tried.add(stalled.state.record.run)
         try:
             tokens = self._retry_policy.reserve_hedge(job, self._responder)
-        except RetryRefused as refusal:
+        except HedgeDenied as refusal:
             self._record_stall(stalled, str(refusal))
             stalled.stalled_at = self._clock.steady() + HEDGE_RETRY_INTERVAL
             return None
