--- a/rowanport/gateway/attempt.py
+++ b/rowanport/gateway/attempt.py
@@ -20,8 +20,8 @@
     :param state: the UpstreamState of the upstream
     :param opening: task that sends the request and returns the HttpAnswer
     :param make_relay: function from the HttpAnswer to its Relay
-    :param flight: the InFlightSend that counts it
-    :ivar flight: its InFlightSend
+    :param in_flight_send: the InFlightSend of this send
+    :ivar in_flight_send: the InFlightSend of this send
     :ivar tokens: extra tokens reserved for it if it is a hedge
     :ivar answer: the HttpAnswer, None until its head has arrived
     :ivar stalled_at: monotonic time from which it counts as stalled, None if
@@ -32,7 +32,7 @@
 
     __slots__ = (
         "state",
-        "flight",
+        "in_flight_send",
         "tokens",
         "answer",
         "stalled_at",
@@ -45,9 +45,9 @@
         "_closed",
     )
 
-    def __init__(self, state, opening, make_relay, flight):
+    def __init__(self, state, opening, make_relay, in_flight_send):
         self.state = state
-        self.flight = flight
+        self.in_flight_send = in_flight_send
         self.tokens = 0
         self.answer = None
         self.stalled_at = None
--- a/rowanport/gateway/sender.py
+++ b/rowanport/gateway/sender.py
@@ -135,8 +135,8 @@
         # Counted before the send, so that concurrent requests go elsewhere.
         ahead = self._record_load(state)
         opening = asyncio.ensure_future(self._open(state, ahead))
-        flight = self._crashes.start_run(job, state)
-        attempt = Attempt(state, opening, self._relay, flight)
+        in_flight_send = self._crashes.start_run(job, state)
+        attempt = Attempt(state, opening, self._relay, in_flight_send)
         self._attempts.append(attempt)
         self._restart_stall_timeout(attempt)
         job.upstream = state.record.id
@@ -261,7 +261,7 @@
         :param error: the UpstreamError that ended it, or None
         """
         if not attempt.closed:
-            self._crashes.finish_run(attempt.flight, error)
+            self._crashes.finish_run(attempt.in_flight_send, error)
             attempt.close()
 
     def _record_rejection(self, state, error):
