--- a/rowanport/gateway/choice.py
+++ b/rowanport/gateway/choice.py
@@ -91,7 +91,7 @@
             state = self._choose_short(candidates, job, now)
         else:
             state = self._choose_long(candidates, job, now)
-        state.pacing.track(job, now)
+        state.stream_pauses.track(job, now)
         return state
 
     def _choose_short(self, candidates, job, now):
@@ -121,7 +121,7 @@
     def _fewest_pauses(self, candidates, now):
         """Return the candidates with the lowest level of paused streams."""
         levels = [
-            int(PAUSE_LEVELS * state.pacing.paused_share(now))
+            int(PAUSE_LEVELS * state.stream_pauses.paused_share(now))
             for state in candidates
         ]
         lowest = min(levels, default=0)
--- a/rowanport/gateway/pool.py
+++ b/rowanport/gateway/pool.py
@@ -20,7 +20,7 @@
     :ivar record: the Upstream as listed
     :ivar outstanding: requests of this router that run there
     :ivar backlog: the Backlog of prompt tokens that it has not processed
-    :ivar pacing: the StreamPauses, which tells how evenly its streams arrive
+    :ivar stream_pauses: the StreamPauses of its recent streams
     :ivar failures: consecutive failures
     :ivar ejected_until: monotonic time until which it gets no requests
     :ivar crashed_until: the same after a crash
@@ -30,7 +30,7 @@
         "record",
         "outstanding",
         "backlog",
-        "pacing",
+        "stream_pauses",
         "failures",
         "ejected_until",
         "crashed_until",
@@ -40,7 +40,7 @@
         self.record = record
         self.outstanding = 0
         self.backlog = Backlog()
-        self.pacing = StreamPauses()
+        self.stream_pauses = StreamPauses()
         self.failures = 0
         self.ejected_until = 0.0
         self.crashed_until = 0.0
--- a/test/test_choice.py
+++ b/test/test_choice.py
@@ -279,7 +279,7 @@
 def record_pause(router, engine):
     """Record a stream at an engine with a pause above its objective."""
     job = make_job(gap_objective=0.3)
-    router.pool.get(engine).pacing.track(job, router.clock.now)
+    router.pool.get(engine).stream_pauses.track(job, router.clock.now)
     job.longest_pause = 0.4
 
 
