--- a/rowanport/gateway/daemon.py
+++ b/rowanport/gateway/daemon.py
@@ -182,7 +182,7 @@
             self.clock,
             self.metrics,
         )
-        self._views.crashes = self.crashes.sync
+        self._views.suspect_sync = self.crashes.sync
         self._blocklist = Blocklist(
             self._store,
             self.crashes,
--- a/rowanport/gateway/views.py
+++ b/rowanport/gateway/views.py
@@ -71,7 +71,8 @@
     :ivar push: function of a peer's address and a message that sends the
         message on a connection that the peer has open
     :ivar loads: the LoadSync whose data is exchanged in polls, or None
-    :ivar crashes: the SuspectSync whose data is exchanged in polls, or None
+    :ivar suspect_sync: the SuspectSync whose data is exchanged in polls, or
+        None
     :ivar limits: the RateLimits whose data is exchanged in polls, or None
     """
 
@@ -102,7 +103,7 @@
         self.push = None
         self.on_upstreams = None
         self.loads = None
-        self.crashes = None
+        self.suspect_sync = None
         self.limits = None
 
     @property
@@ -223,8 +224,8 @@
         if self.loads is not None:
             seconds = message.recent / 1000
             give.notes = self.loads.recent(seconds, message.asker)
-        if self.crashes is not None:
-            give.suspects = self.crashes.answer_poll(message.suspects)
+        if self.suspect_sync is not None:
+            give.suspects = self.suspect_sync.answer_poll(message.suspects)
         if self.limits is not None:
             self.limits.merge(message.limits, message.asker)
             give.limits = self.limits.rows()
@@ -346,7 +347,11 @@
             self._address,
             self._clock.wall(),
             round(1000 * seconds),
-            self.crashes.build_poll() if self.crashes else SuspectNews(0, []),
+            (
+                self.suspect_sync.build_poll()
+                if self.suspect_sync
+                else SuspectNews(0, [])
+            ),
             self.limits.rows() if self.limits else [],
             has[1],
         )
@@ -372,8 +377,8 @@
         self._clocks.observe(address, give.wall)
         for note in give.notes:
             self.loads.apply(note)
-        if self.crashes is not None:
-            self.crashes.receive_answer(give.suspects)
+        if self.suspect_sync is not None:
+            self.suspect_sync.receive_answer(give.suspects)
         if self.limits is not None:
             self.limits.merge(give.limits, address)
         if give.config_data:
