--- a/rowanport/gateway/race.py
+++ b/rowanport/gateway/race.py
@@ -19,17 +19,17 @@
     :param second: its hedge
     :param responder: the Responder of the caller
     :param clock: a Clock
-    :param ask: function of an unresponsive Attempt that starts a further
-        hedge; returns the Attempt, or None if that is not allowed
+    :param start_hedge: function of an unresponsive Attempt that starts a
+        further hedge; returns the Attempt, or None if that is not allowed
     :param drop: function that is called with a failed Attempt and its
         UpstreamError
     """
 
-    def __init__(self, first, second, responder, clock, ask, drop):
+    def __init__(self, first, second, responder, clock, start_hedge, drop):
         self._attempts = [first, second]
         self._responder = responder
         self._clock = clock
-        self._ask = ask
+        self._start_hedge = start_hedge
         self._drop = drop
         # Tasks that wait until an Attempt is usable, by Attempt.
         self._waits = {}
@@ -94,7 +94,7 @@
         if done:
             return True
         if self._usable is None:
-            hedge = self._ask(self._attempts[-1])
+            hedge = self._start_hedge(self._attempts[-1])
             if hedge is not None:
                 self._attempts.append(hedge)
         return False
