--- a/rowanport/suspects/in_flight.py
+++ b/rowanport/suspects/in_flight.py
@@ -71,7 +71,7 @@
         return [
             name
             for name, sends in self._ended.items()
-            if any(f.job.fingerprint == fingerprint for f in sends)
+            if any(send.job.fingerprint == fingerprint for send in sends)
         ]
 
     def first_ended_at(self, name):
@@ -99,7 +99,9 @@
 
     def _expire(self, now):
         for name, sends in list(self._ended.items()):
-            recent = [f for f in sends if f.ended_at > now - ENDED_SECONDS]
+            recent = [
+                send for send in sends if send.ended_at > now - ENDED_SECONDS
+            ]
             if recent:
                 self._ended[name] = recent
             else:
--- a/rowanport/suspects/table.py
+++ b/rowanport/suspects/table.py
@@ -20,8 +20,8 @@
 # them is blocked: the upstreams then crash whatever they run.
 STORM_REQUESTS = 10
 STORM_SECONDS = 60.0
-# Seconds after a request reaches the threshold until all requests that ran
-# beside it are known.
+# Seconds after a request reaches the threshold until all requests that ran on
+# the same upstreams are known.
 SETTLE_SECONDS = 2.0
 # Seconds after the last crash until a request expires: one that reached the
 # threshold, and one that did not.
@@ -321,7 +321,7 @@
             last = bisect.bisect_right(times, at + STORM_SECONDS)
             one.blocked = last - first < STORM_REQUESTS
 
-    # Requests that ran beside a blocked one
+    # Requests that ran on the same upstream as a blocked one
 
     def clear_bystanders(self, now):
         """Clear other Suspects of crashes that a blocked request explains.
@@ -338,9 +338,9 @@
         for suspect in self.suspects:
             if suspect.fingerprint in self._at_threshold:
                 continue
-            beside = explained.intersection(suspect.uncleared_crashes)
-            if beside:
-                suspect.cleared |= beside
+            newly_cleared = explained.intersection(suspect.uncleared_crashes)
+            if newly_cleared:
+                suspect.cleared |= newly_cleared
                 self._update(suspect, now)
                 changed.append(suspect)
         return changed
