--- a/rowanport/gateway/load_history.py
+++ b/rowanport/gateway/load_history.py
@@ -27,11 +27,11 @@
         while self._notes[0][0] < now - KEEP_SECONDS:
             self._notes.popleft()
 
-    def recent(self, seconds, asker):
+    def recent(self, seconds, poller):
         """Return LoadNotes of the last seconds, the largest prompts first.
 
         :param seconds: length of the time span
-        :param asker: peer address of the router that polls; its own
+        :param poller: peer address of the router that polls; its own
             LoadNotes are left out
         """
         if seconds <= 0:
@@ -40,7 +40,7 @@
         notes = [
             note
             for received_at, note in self._notes
-            if received_at > begin and note.sender != asker
+            if received_at > begin and note.sender != poller
         ]
         notes.sort(key=lambda note: -note.tokens)
         return notes[:ANSWER_LIMIT]
--- a/rowanport/gateway/load_sync.py
+++ b/rowanport/gateway/load_sync.py
@@ -111,14 +111,14 @@
             return 0.0
         return seconds
 
-    def recent(self, seconds, asker):
+    def recent(self, seconds, poller):
         """Return the LoadNotes received within the last seconds.
 
         :param seconds: length of the time span
-        :param asker: peer address of the router that polls; its own
+        :param poller: peer address of the router that polls; its own
             LoadNotes are left out
         """
-        return self._history.recent(seconds, asker)
+        return self._history.recent(seconds, poller)
 
     def receive(self, note):
         """Apply a LoadNote of its sender, and keep it for peers that poll."""
