--- a/rowanport/gateway/expired_entries.py
+++ b/rowanport/gateway/expired_entries.py
@@ -72,7 +72,8 @@
         upstreams = {
             name: upstream
             for name, upstream in upstreams.items()
-            # A presumption does not bring back an upstream dropped here.
+            # That a lapsing upstream's entry expired is only presumed, so one
+            # that was dropped here is not added again.
             if not upstream.lapsing or name in known
         }
         self._until = {
