--- a/rowanport/gateway/sender.py
+++ b/rowanport/gateway/sender.py
@@ -14,7 +14,7 @@
 from .relay import EventRelay
 from .relay import is_stream
 from .retry_policy import final_error
-from .retry_policy import RetryRefused
+from .retry_policy import HedgeDenied
 
 # Share of the remaining time after which a repeatable request without an
 # answer is hedged, that is, sent to another upstream as well.
@@ -135,8 +135,8 @@
         # Counted before the send, so that concurrent requests go elsewhere.
         ahead = self._record_load(state)
         opening = asyncio.ensure_future(self._open(state, ahead))
-        flight = self._crashes.start_run(job, state)
-        attempt = Attempt(state, opening, self._relay, flight)
+        in_flight_send = self._crashes.start_run(job, state)
+        attempt = Attempt(state, opening, self._relay, in_flight_send)
         self._attempts.append(attempt)
         self._restart_stall_timeout(attempt)
         job.upstream = state.record.id
@@ -261,7 +261,7 @@
         :param error: the UpstreamError that ended it, or None
         """
         if not attempt.closed:
-            self._crashes.finish_run(attempt.flight, error)
+            self._crashes.finish_run(attempt.in_flight_send, error)
             attempt.close()
 
     def _record_rejection(self, state, error):
@@ -338,7 +338,7 @@
         job.tried.add(stalled.state.record.run)
         try:
             tokens = self._retry_policy.reserve_hedge(job, self._responder)
-        except RetryRefused as refusal:
+        except HedgeDenied as refusal:
             self._record_stall(stalled, str(refusal))
             stalled.stalled_at = self._clock.steady() + HEDGE_RETRY_INTERVAL
             return None
