--- a/rowanport/ledger/book.py
+++ b/rowanport/ledger/book.py
@@ -242,7 +242,7 @@
         return holder in self._fenced
 
     def attest(self, holder):
-        """Return the tokens still owed of a dead holder's grants, by budget.
+        """Return the outstanding tokens of a dead holder, by budget.
 
         The holder is fenced: no new reservation of it is used from now on.
         """
--- a/rowanport/ledger/holder.py
+++ b/rowanport/ledger/holder.py
@@ -410,7 +410,7 @@
     # Dead holders
 
     def attest(self, holder):
-        """Return what is owed of a dead holder's grants, by budget.
+        """Return the outstanding tokens of a dead holder, by budget.
 
         The holder is fenced: no loan of it is accepted from now on.
         """
--- a/rowanport/ledger/keeper.py
+++ b/rowanport/ledger/keeper.py
@@ -278,8 +278,8 @@
     async def run(self):
         """Sync shards that are due, until cancelled.
 
-        The loop runs often only while a reservation waits: in an idle router
-        it uses most of the processor time.
+        The short interval is used only while a reservation waits, as this loop
+        takes most of the processor time of an idle router.
         """
         review = 0.0
         while True:
--- a/rowanport/ledger/record.py
+++ b/rowanport/ledger/record.py
@@ -281,9 +281,9 @@
 
 
 def _apply_recovery(record, recovery, at):
-    """Reduce a dead holder's grants to what open reservations still owe.
+    """Reduce a dead holder's grants to its outstanding tokens.
 
-    While anything is owed the holder stays in the record, to be recovered
+    While any are outstanding the holder stays in the record, to be recovered
     again later: that frees the tokens which its runs did not use.
     """
     holder = record.holders.get(recovery.holder)
@@ -293,9 +293,9 @@
     # have borrowed from the dead holder.
     if not set(record.holders) <= {*recovery.attested, recovery.holder}:
         return
-    # More owed than granted means that the dead holder spent borrowed tokens
-    # that are still in the lender's grant.  Its grants cannot be reduced
-    # until the loan is written.
+    # More outstanding than granted tokens mean that the dead holder spent
+    # borrowed ones that are still in the lender's grant.  Its grants cannot be
+    # reduced until the loan is written.
     if not _covers(record, recovery):
         return
     for name, budget in record.budgets.items():
@@ -310,7 +310,7 @@
 
 
 def _covers(record, recovery):
-    """Return whether a dead holder's grants cover what is still owed."""
+    """Return whether a dead holder's grants cover its outstanding tokens."""
     return all(
         kept <= record.budgets[name].grants.get(recovery.holder, 0)
         for name, kept in recovery.kept.items()
--- a/rowanport/ledger/recoverer.py
+++ b/rowanport/ledger/recoverer.py
@@ -147,7 +147,7 @@
         return not self._members.is_alive(incarnation_of(holder))
 
     async def _recover(self, state, dead, record):
-        """Recover a dead holder's grants if all routers that may owe attest.
+        """Recover a dead holder's grants if all routers asked attest.
 
         :param state: the ShardState
         :param dead: id of the dead holder
--- a/rowanport/membership/gossip.py
+++ b/rowanport/membership/gossip.py
@@ -19,7 +19,7 @@
 # few entries in the first read, and all of them some seconds later.
 FIRST_LIST_PAUSES = (1.0, 1.0, 2.0)
 # Number of gossip rounds after the start that follow each other faster, and by
-# which factor: a router should know the fleet before it acts for it.
+# which factor: a router should know the fleet before it acts on its behalf.
 FAST_ROUNDS = 20
 FAST_FACTOR = 5
 
--- a/rowanport/prepaid/account.py
+++ b/rowanport/prepaid/account.py
@@ -18,7 +18,7 @@
 # Seconds over which the first requests are averaged, so that a single one is
 # not read as a rate.
 DEMAND_MIN_AGE = 2.0
-# Minimum part of the whole budget that the fleet holds: demand is lumpy, and
+# Minimum part of the whole budget that the fleet holds: demand varies, and
 # a single large request may need a tenth of a small budget.
 MIN_HELD_SHARE = 0.3
 # Maximum part of the unspent tokens that the fleet holds.  If all machines
@@ -219,9 +219,10 @@
         )
 
     def _spendable(self, headroom):
-        """Return the available tokens that the limits let out now.
+        """Return how many available tokens may leave now.
 
-        :param headroom: tokens that the limits let out, None for any number
+        :param headroom: tokens that the limits allow to leave, None if no
+            limit is in effect
         """
         if headroom is None:
             return self.available
--- a/rowanport/prepaid/keeper.py
+++ b/rowanport/prepaid/keeper.py
@@ -41,8 +41,9 @@
 LIMIT_WAIT = 0.4
 # Seconds added to such a wait, to be sure that the limit has grown.
 LIMIT_MARGIN = 0.005
-# Seconds in which a holder draws tokens and raises its limits.  After these a
-# borrower asks again, and a holder that a limit holds back asks its peers.
+# Wait in seconds before a borrower asks the holders again, and before a holder
+# whose limits are too low asks its peers.  Within it a holder usually draws
+# tokens and raises its limits.
 RETRY_PAUSE = 0.03
 # Seconds for which peers are not asked again after none had tokens.
 EXHAUSTED_SECONDS = 0.25
@@ -160,7 +161,7 @@
         return account
 
     def headroom(self, account):
-        """Return the tokens that limits let out, None for any number."""
+        """Return how many more tokens may leave, None if no limit applies."""
         return self._refill.headroom(account)
 
     # Requests
--- a/rowanport/prepaid/loans.py
+++ b/rowanport/prepaid/loans.py
@@ -23,7 +23,7 @@
 ASK_TIMEOUT = 0.1
 # Seconds for each later attempt of a request, between two attempts, and after
 # which none follows.  A stalled connection is replaced within a second, and
-# tokens lent without an answer are lost for good.
+# tokens lent without an answer are lost permanently.
 RETRY_TIMEOUT = 0.4
 RETRY_PAUSE = 0.1
 RETRY_SECONDS = 3.0
--- a/rowanport/prepaid/record.py
+++ b/rowanport/prepaid/record.py
@@ -146,7 +146,7 @@
         self.holdings = holdings or {}
         self.spent = spent or {}
         self.out = out or {}
-        # Limits of earlier versions grew at once and lapsed earlier.
+        # Limits of earlier versions grew at once and expired earlier.
         self.grows_at = made_at if grows_at is None else grows_at
         if lapses_at is None:
             lapses_at = made_at + OLD_HOLD_SECONDS
@@ -154,7 +154,7 @@
 
     @property
     def effective_seconds(self):
-        """Return the age in seconds at which its limits lapse."""
+        """Return the age in seconds at which its limits expire."""
         return round(self.lapses_at - self.made_at, SPAN_DIGITS)
 
     @classmethod
--- a/rowanport/prepaid/refill.py
+++ b/rowanport/prepaid/refill.py
@@ -87,7 +87,7 @@
         self._totals = (totals, version)
 
     def headroom(self, account):
-        """Return the tokens that limits let out, None for any number."""
+        """Return how many more tokens may leave, None if no limit applies."""
         return self._allowances.headroom(account, self._clock.steady())
 
     def allowed_at(self, account, tokens):
--- a/rowanport/router/callers.py
+++ b/rowanport/router/callers.py
@@ -122,7 +122,7 @@
     async def _send_error(self, responder, call, error):
         self._count(error.kind.value, error.outcome)
         if responder.started:
-            # Part of the answer was sent: it is left without an end, so that
+            # Part of the answer was sent.  It is left unterminated, so that
             # the caller does not take it for complete.
             return
         await answers.send_error(responder, call, error, self._retry_after)
--- a/rowanport/router/daemon.py
+++ b/rowanport/router/daemon.py
@@ -175,7 +175,7 @@
         self.callers = CallerServer(self, settings)
         self._operators = OperatorServer(self, settings)
 
-    # Groups and facts
+    # Upstream groups and policy variables
 
     def group(self, name):
         """Return the GroupScheduler of an upstream group."""
@@ -337,7 +337,7 @@
             return None
         return usage.run, usage.tokens
 
-    # Loops
+    # Background tasks
 
     async def _poll_loads(self):
         """Poll the engines' loads in random order, at a bounded rate.
--- a/rowanport/router/runner.py
+++ b/rowanport/router/runner.py
@@ -36,7 +36,8 @@
     :ivar reservation: its OpenReservation, or None
     :ivar next_reservation: the OpenReservation of a possible retry, or None
     :ivar retry_acquired: whether a retry was taken from the retry budget
-    :ivar stall_policy: the Patience asked whether to abandon a stalled run
+    :ivar stall_policy: the Patience that decides whether to abandon a
+        stalled run
     :ivar run: run id that the upstream assigned, empty until it is known
     :ivar claim: run id by which the request is claimed, empty if it is not
     :ivar sent: whether part of the answer was sent
--- a/rowanport/upstreams/engine.py
+++ b/rowanport/upstreams/engine.py
@@ -143,7 +143,8 @@
             existing run
         :param budget: budget id, sent along with the request
         :param body: the request body as a JSON object
-        :param stall_policy: the Patience asked when the answer stalls
+        :param stall_policy: the Patience that decides whether to abandon a
+            stalled answer
         :raises UpstreamError: the call failed; ``started`` says whether it may
             have run
         """
--- a/rowanport/upstreams/service.py
+++ b/rowanport/upstreams/service.py
@@ -41,7 +41,8 @@
         :param request: request id, sent also as the idempotency key, so that a
             service can refuse to run the same request twice
         :param kind: content type of the body
-        :param stall_policy: the Patience asked when the answer stalls
+        :param stall_policy: the Patience that decides whether to abandon a
+            stalled answer
         :raises UpstreamError: the call failed; ``started`` says whether it may
             have run
         """
