--- a/rowanport/ledger/sizing.py
+++ b/rowanport/ledger/sizing.py
@@ -52,6 +52,6 @@
             # While there is demand here too, return only half, so that two
             # holders short of tokens do not drain each other in turn.
             return available // 2 if demand > 0 else available
-        wide = max(unspent * self.share, demand * self.horizon)
-        keep = 4 * int(max(wide, self.least))
+        base = max(unspent * self.share, demand * self.horizon)
+        keep = 4 * int(max(base, self.least))
         return max(0, available - keep)
--- a/rowanport/prepaid/keeper.py
+++ b/rowanport/prepaid/keeper.py
@@ -370,8 +370,8 @@
             if account.waiters and not account.loan_unanswered:
                 return self._refuse_waiters(account)
         lost = self._exhaustion.store_lost_at is not None
-        in_vain = lost or self._refill.is_store_empty(account.name)
-        if account.waiters and in_vain:
+        store_unavailable = lost or self._refill.is_store_empty(account.name)
+        if account.waiters and store_unavailable:
             self._refuse_waiters(account)
 
     async def _borrow(self, account):
--- a/rowanport/router/daemon.py
+++ b/rowanport/router/daemon.py
@@ -86,7 +86,7 @@
         self._build_platform(settings)
         self._build_peers(settings)
         self._build_ledger(settings)
-        self._build_fronts(settings)
+        self._build_servers(settings)
 
     # Building
 
@@ -166,7 +166,7 @@
             self.clock,
         )
 
-    def _build_fronts(self, settings):
+    def _build_servers(self, settings):
         timeout = settings.scheduling.upstream_timeout
         self._engines = EngineClient(self._upstream_http, timeout)
         services = ServiceClient(self._upstream_http, timeout)
