--- a/rowanport/ledger/record.py
+++ b/rowanport/ledger/record.py
@@ -346,7 +346,7 @@
 
     A bill may be submitted again by a holder that has not synced since it
     expired.  Recovered holders are removed once their expiry has passed and
-    nothing is owed of their grants.
+    no tokens of their grants are outstanding.
     """
     oldest = min(
         (holder.synced_at for holder in record.holders.values()), default=at
--- a/rowanport/prepaid/account.py
+++ b/rowanport/prepaid/account.py
@@ -150,7 +150,7 @@
 
         Tokens spent here are not added to a peer's count, which may include
         them already: two routers that exchanged counts would raise them
-        without end.
+        indefinitely.
         """
         return max(self.recorded + self.unreported, self.peer_spent)
 
@@ -203,8 +203,8 @@
         The demand of the next seconds is included, as some request has to
         wait for each loan.
 
-        :param headroom: tokens that the limits let out now, None for any
-            number; borrowed tokens are not limited
+        :param headroom: tokens that the limits allow to leave, None if no
+            limit is in effect; borrowed tokens are not limited
         :param now: monotonic time
         """
         free = self._spendable(headroom)
@@ -238,7 +238,8 @@
     def reserve(self, tokens, headroom, now):
         """Reserve tokens if there are enough; return whether it did.
 
-        :param headroom: tokens that the limits let out, None for any number
+        :param headroom: tokens that the limits allow to leave, None if no
+            limit is in effect
         :param now: monotonic time
         """
         if self.recalled or self._spendable(headroom) < tokens:
@@ -308,10 +309,11 @@
 
         They count as granted, so that limits follow the borrowers' demand as
         well.  Otherwise a lender in a large fleet, with little demand of its
-        own, held tokens that its limits did not let out.
+        own, would hold tokens that its limits do not allow to leave.
 
         :param tokens: tokens that the borrower needs
-        :param headroom: tokens that the limits let out, None for any number
+        :param headroom: tokens that the limits allow to leave, None if no
+            limit is in effect
         :param now: monotonic time
         :param draws: whether the borrower draws from the store itself.  It
             then gets half of what is here if that is more, so that it need
--- a/rowanport/prepaid/allowance.py
+++ b/rowanport/prepaid/allowance.py
@@ -165,7 +165,7 @@
     :param record: its last HolderRecord
     :param steady: monotonic time now, of the machine that wrote it
     :param wall: wall time now, of the same machine
-    :returns: seconds; None if not proved or if the limits had lapsed
+    :returns: seconds; None if not proved or if the limits had expired
     """
     age = steady - record.made_at
     if not 0.0 <= age < record.effective_seconds:
@@ -183,7 +183,7 @@
     :param latest: latest wall time that any clock of the fleet showed when
         the next run began
     :returns: seconds, one of ``LEASE_SPANS``; None if not proved or if the
-        limits had lapsed
+        limits had expired
     """
     if span is None or not has_recent_peers:
         return None
--- a/rowanport/prepaid/exhaustion.py
+++ b/rowanport/prepaid/exhaustion.py
@@ -9,7 +9,7 @@
 
 
 class Exhaustion:
-    """Tells spent budgets from those that lack tokens for now.
+    """Distinguishes spent budgets from those that lack tokens for now.
 
     :param refill: the Refill, for the limits in effect
     :param clock: a Clock
@@ -48,7 +48,7 @@
     def _come_back_at(self, account, tokens):
         """Return the monotonic time from which there may be tokens.
 
-        Tokens held back by a limit are free once it grows or lapses.  Missing
+        Tokens held back by a limit are free once it grows or expires.  Missing
         tokens come from the store, once it is back, or from a request that
         ends.
         """
--- a/rowanport/prepaid/keeper.py
+++ b/rowanport/prepaid/keeper.py
@@ -211,7 +211,7 @@
         return account.reserve(tokens, self.headroom(account), now)
 
     def _allowed_soon_at(self, account, tokens):
-        """Return the monotonic time at which limits will let tokens out.
+        """Return the monotonic time from which limits allow tokens to leave.
 
         :returns: None if there are too few tokens, or if it takes longer than
             ``LIMIT_WAIT``
@@ -377,7 +377,7 @@
     async def _borrow(self, account):
         """Ask holders, repeatedly while they have or draw tokens.
 
-        Other routers are asked last: asking a dozen of them in vain takes four
+        Other routers are asked last: asking a dozen without success takes four
         round trips of the 0.14 s that a request waits.
         """
         result = await self._loans.ask_holders(account)
@@ -470,7 +470,7 @@
         It is called twice, as a planned stop begins and as it ends.  If the
         store is reachable, a last record first lets out all tokens.  If not,
         those beyond the written limits follow at the second call, once the
-        limits have lapsed.  Tokens that no peer accepts are used here until
+        limits have expired.  Tokens that no peer accepts are used here until
         the second call, which returns them to the store.
         """
         is_last = self.stopping
--- a/rowanport/prepaid/loan_returns.py
+++ b/rowanport/prepaid/loan_returns.py
@@ -5,7 +5,8 @@
 with the machine: in a large fleet a good part of a small budget.
 
 Spent tokens are reported to lenders as well.  Routers that draw can then tell
-the others that a budget is spent, and callers are not asked to retry in vain.
+the others that a budget is spent, and callers are not told to retry when
+no tokens are left.
 """
 
 import random
--- a/rowanport/prepaid/refill.py
+++ b/rowanport/prepaid/refill.py
@@ -91,7 +91,7 @@
         return self._allowances.headroom(account, self._clock.steady())
 
     def allowed_at(self, account, tokens):
-        """Return the monotonic time from which limits let tokens out."""
+        """Return the monotonic time from which tokens may leave."""
         now = self._clock.steady()
         return self._allowances.allowed_at(account, tokens, now)
 
--- a/rowanport/upstreams/pool.py
+++ b/rowanport/upstreams/pool.py
@@ -30,7 +30,7 @@
     :ivar waiting: queue length that the engine last reported
     :ivar load_expires_at: time up to which that report is used
     :ivar leaving: whether the platform lists it as leaving
-    :ivar leaving_until: wall time up to which a leaving note is in effect
+    :ivar leaving_until: wall time up to which a notice of leaving is in effect
     :ivar ejected_until: time up to which it is ejected after failures
     :ivar failures: number of consecutive failures
     :ivar full_share_at: time at which its slow start ends
@@ -145,7 +145,7 @@
         """Return the open upstreams without the ejected ones.
 
         If more than half of the open ones are ejected, none is left out: the
-        cause is then hardly in the upstreams themselves.
+        cause is then probably not the upstreams themselves.
         """
         now = self._clock.steady()
         open_upstreams = [
