--- a/rowanport/prepaid/account.py
+++ b/rowanport/prepaid/account.py
@@ -18,7 +18,7 @@
 # Seconds over which the first requests are averaged, so that a single one is
 # not read as a rate.
 DEMAND_MIN_AGE = 2.0
-# Minimum part of the whole budget that the fleet holds: demand is lumpy, and
+# Minimum part of the whole budget that the fleet holds: demand varies, and
 # a single large request may need a tenth of a small budget.
 MIN_HELD_SHARE = 0.3
 # Maximum part of the unspent tokens that the fleet holds.  If all machines
@@ -150,7 +150,7 @@
 
         Tokens spent here are not added to a peer's count, which may include
         them already: two routers that exchanged counts would raise them
-        without end.
+        indefinitely.
         """
         return max(self.recorded + self.unreported, self.peer_spent)
 
@@ -203,8 +203,8 @@
         The demand of the next seconds is included, as some request has to
         wait for each loan.
 
-        :param headroom: tokens that the limits let out now, None for any
-            number; borrowed tokens are not limited
+        :param headroom: tokens that the limits allow to leave, None if no
+            limit is in effect; borrowed tokens are not limited
         :param now: monotonic time
         """
         free = self._spendable(headroom)
@@ -219,9 +219,10 @@
         )
 
     def _spendable(self, headroom):
-        """Return the available tokens that the limits let out now.
+        """Return how many available tokens may leave now.
 
-        :param headroom: tokens that the limits let out, None for any number
+        :param headroom: tokens that the limits allow to leave, None if no
+            limit is in effect
         """
         if headroom is None:
             return self.available
@@ -237,7 +238,8 @@
     def reserve(self, tokens, headroom, now):
         """Reserve tokens if there are enough; return whether it did.
 
-        :param headroom: tokens that the limits let out, None for any number
+        :param headroom: tokens that the limits allow to leave, None if no
+            limit is in effect
         :param now: monotonic time
         """
         if self.recalled or self._spendable(headroom) < tokens:
@@ -307,10 +309,11 @@
 
         They count as granted, so that limits follow the borrowers' demand as
         well.  Otherwise a lender in a large fleet, with little demand of its
-        own, held tokens that its limits did not let out.
+        own, would hold tokens that its limits do not allow to leave.
 
         :param tokens: tokens that the borrower needs
-        :param headroom: tokens that the limits let out, None for any number
+        :param headroom: tokens that the limits allow to leave, None if no
+            limit is in effect
         :param now: monotonic time
         :param draws: whether the borrower draws from the store itself.  It
             then gets half of what is here if that is more, so that it need
--- a/rowanport/prepaid/keeper.py
+++ b/rowanport/prepaid/keeper.py
@@ -41,8 +41,9 @@
 LIMIT_WAIT = 0.4
 # Seconds added to such a wait, to be sure that the limit has grown.
 LIMIT_MARGIN = 0.005
-# Seconds in which a holder draws tokens and raises its limits.  After these a
-# borrower asks again, and a holder that a limit holds back asks its peers.
+# Wait in seconds before a borrower asks the holders again, and before a holder
+# whose limits are too low asks its peers.  Within it a holder usually draws
+# tokens and raises its limits.
 RETRY_PAUSE = 0.03
 # Seconds for which peers are not asked again after none had tokens.
 EXHAUSTED_SECONDS = 0.25
@@ -160,7 +161,7 @@
         return account
 
     def headroom(self, account):
-        """Return the tokens that limits let out, None for any number."""
+        """Return how many more tokens may leave, None if no limit applies."""
         return self._refill.headroom(account)
 
     # Requests
@@ -210,7 +211,7 @@
         return account.reserve(tokens, self.headroom(account), now)
 
     def _allowed_soon_at(self, account, tokens):
-        """Return the monotonic time at which limits will let tokens out.
+        """Return the monotonic time from which limits allow tokens to leave.
 
         :returns: None if there are too few tokens, or if it takes longer than
             ``LIMIT_WAIT``
@@ -369,14 +370,14 @@
             if account.waiters and not account.loan_unanswered:
                 return self._refuse_waiters(account)
         lost = self._exhaustion.store_lost_at is not None
-        in_vain = lost or self._refill.is_store_empty(account.name)
-        if account.waiters and in_vain:
+        store_unavailable = lost or self._refill.is_store_empty(account.name)
+        if account.waiters and store_unavailable:
             self._refuse_waiters(account)
 
     async def _borrow(self, account):
         """Ask holders, repeatedly while they have or draw tokens.
 
-        Other routers are asked last: asking a dozen of them in vain takes four
+        Other routers are asked last: asking a dozen without success takes four
         round trips of the 0.14 s that a request waits.
         """
         result = await self._loans.ask_holders(account)
@@ -469,7 +470,7 @@
         It is called twice, as a planned stop begins and as it ends.  If the
         store is reachable, a last record first lets out all tokens.  If not,
         those beyond the written limits follow at the second call, once the
-        limits have lapsed.  Tokens that no peer accepts are used here until
+        limits have expired.  Tokens that no peer accepts are used here until
         the second call, which returns them to the store.
         """
         is_last = self.stopping
