--- a/rowanport/store/__init__.py
+++ b/rowanport/store/__init__.py
@@ -1,4 +1,4 @@
-"""What lasts and who lives: stores of keys, lists of instances."""
+"""Interfaces and clients of key-value stores and instance directories."""
 
 from .directory import Directory
 from .directory import Instance
--- a/rowanport/store/directory.py
+++ b/rowanport/store/directory.py
@@ -1,4 +1,4 @@
-"""The platform's lagging list of instances."""
+"""The platform's directory of instances, whose answers may be stale."""
 
 import abc
 
@@ -14,8 +14,8 @@
 class Instance:
     """An instance as the platform lists it.
 
-    :ivar role: router, or the group of an upstream
-    :ivar state: live or leaving
+    :ivar role: ``ROUTER_ROLE``, or the name of an upstream's group
+    :ivar state: ``LIVE`` or ``LEAVING``
     """
 
     __slots__ = ("name", "address", "role", "data_centre", "state")
@@ -29,15 +29,21 @@
 
 
 class Directory(abc.ABC):
-    """Lists instances; what it says may be old."""
+    """A list of instances, which may be out of date."""
 
     @abc.abstractmethod
     async def instances(self):
-        """Return the list of instances."""
+        """Return a list of :class:`Instance`."""
 
 
 class InstanceDirectory(Directory):
-    """The platform's list over HTTP."""
+    """Reads the platform's list of instances over HTTP.
+
+    :param client: an HttpClient
+    :param address: IP and port of the platform's directory
+    :param instance: name of this instance, sent with each request
+    :param timeout: time limit of a request in seconds
+    """
 
     def __init__(self, client, address, instance, timeout):
         self._client = client
--- a/rowanport/store/reach.py
+++ b/rowanport/store/reach.py
@@ -1,16 +1,17 @@
-"""Whether the store can be reached, found out by few cheap calls.
+"""Monitors whether the store can be reached, with few cheap probes.
 
-Each user of a store that is away would try it again and again, and each call
-has a price.  Here one probe speaks for all of them: a call that fails begins
-it, and while it fails too, other calls are not made at all.
+While the store is down, each of its users would retry on its own, at a cost
+for each call.  Instead, a failed call starts one probe on behalf of all users,
+and other calls are held back while the probes fail as well.
 
-Kept connections may go silent for good while new ones work.  So a probe on a
-kept connection that is not answered soon is followed by one on a new
-connection, and if that one is answered first, the kept ones are given up.
+Pooled connections may stall for good while new ones work.  So a probe on a
+pooled connection that is not answered soon is followed by one on a new
+connection, and if that one is answered first, the pooled connections are
+reported as stalled.
 
-A watch waits through an outage, and its user may call nothing else meanwhile.
-So one who has to know of each outage lets the store be probed when it has
-answered nothing for a while.
+A watch stays pending during an outage, and its user may make no other call
+meanwhile.  So users that must detect each outage have the store probed when it
+has answered no call for a while.
 """
 
 import asyncio
@@ -24,35 +25,40 @@
 
 LOG = structlog.get_logger(__name__)
 
-# Seconds for the first answer to a probe after a call failed: a store that is
-# only slow answers by then.
-FIRST_TIMEOUT = 0.5
-# Seconds after which a first probe that is not answered is followed by one on
-# a new connection.
-FRESH_AFTER = 0.1
-# Seconds without an answer after which the store is probed for one who has to
-# know of each outage.  Entries of upstreams lapse 2.4 s after its begin at the
-# earliest (two heartbeats of 1.2 s); it is known 1.8 s after it at the latest.
+# Seconds for the first probes to be answered after a call failed, before the
+# store counts as down: a store that is only slow answers by then.
+FIRST_PROBE_TIMEOUT = 0.5
+# Seconds after which an unanswered first probe is followed by one on a new
+# connection.
+NEW_CONNECTION_DELAY = 0.1
+# Seconds without an answer after which the store is probed for users that must
+# detect each outage.  Entries of upstreams expire 2.4 s after the start of an
+# outage at the earliest (two heartbeats of 1.2 s); the outage is detected
+# 1.8 s after its start at the latest.
 IDLE_LIMIT = 1.1
-# The same as FRESH_AFTER where no call has failed: a store that is only slow
-# is not to be asked twice, nor its kept connections taken for silent.
-IDLE_FRESH_AFTER = 0.3
-# Seconds between two probes; those of a store that is silent overlap.
+# Used in place of NEW_CONNECTION_DELAY when no call has failed: a store that
+# is only slow must not be probed twice, nor its pooled connections be taken
+# for stalled.
+IDLE_NEW_CONNECTION_DELAY = 0.3
+# Seconds between two probes of a store that is down; they overlap if the
+# store does not answer.
 INTERVAL = 0.3
-# Seconds for the answer to each of them.
-TIMEOUT = 1.0
-# Seconds between two beats of a loop that waits for the end of an outage.
-BEAT_PAUSE = 1.0
+# Time limit of each of these probes in seconds.
+PROBE_TIMEOUT = 1.0
+# Seconds between the heartbeats of a loop that waits for an outage to end.
+HEARTBEAT_INTERVAL = 1.0
 
 
 class Reach:
-    """What is known of one store's availability.
+    """Monitors whether one store can be reached.
 
-    :param probe: coroutine function, a cheap call that raises StoreError; it
-        is told whether to use a new connection
+    :param probe: coroutine function that makes a cheap call and raises
+        StoreError if it fails; its argument is whether to use a new
+        connection
     :param clock: a Clock
-    :ivar on_silence: function that is told when kept connections turned out
-        silent: the event loop's time before which they were opened
+    :ivar on_silence: function that is called when pooled connections are
+        found to be stalled, with the event loop's time at which the probe
+        began; connections idle since before it may be stalled
     """
 
     def __init__(self, probe, clock):
@@ -61,94 +67,99 @@
         self._up = asyncio.Event()
         self._up.set()
         self._down = asyncio.Event()
-        self._silence = asyncio.Event()
+        self._stalled = asyncio.Event()
         self._back_at = None
         self._heard_at = clock.steady()
         self.on_silence = None
         self._tasks = TaskSet()
-        self._prober = None
+        self._probe_task = None
 
     @property
     def up(self):
-        """Return whether calls are worth making."""
+        """Return whether calls should be made: the store is not known down."""
         return self._up.is_set()
 
     @property
     def back_at(self):
-        """Return the steady time at which a lost store was found back.
+        """Return the monotonic time at which the last outage ended.
 
-        None while it was never lost; a call that failed is no loss.
+        None if there was no outage so far.  A failed call alone is none: the
+        probes after it must fail as well.
         """
         return self._back_at
 
     @property
     def heard_at(self):
-        """Return when the newest call was sent that the store answered."""
+        """Return the monotonic time when the last answered call was sent."""
         return self._heard_at
 
     @property
     def in_doubt(self):
-        """Return whether a probe is yet to tell if the store is there."""
-        return self._prober is not None and not self._prober.done()
+        """Return whether probes are running to find out if the store is up."""
+        return self._probe_task is not None and not self._probe_task.done()
 
     def note_answer(self, sent_at):
-        """Note that a call was answered.
+        """Record that a call was answered.
 
-        :param sent_at: steady time at which it was sent; the store may be
-            away since then
+        :param sent_at: monotonic time at which the call was sent; the store
+            may have gone down since then
         """
         self._heard_at = max(self._heard_at, sent_at)
 
     def note_failure(self):
-        """Note that a call failed; find out whether others would, too."""
-        self._begin_probing(FRESH_AFTER)
+        """Record that a call failed, and probe whether the store is down."""
+        self._start_probing(NEW_CONNECTION_DELAY)
 
     async def probe_when_idle(self):
-        """Wait until the store has answered nothing for long; probe it.
+        """Probe the store once it has answered no call for IDLE_LIMIT.
 
-        Returns once the store is known to be there.
+        Returns when the store has answered a probe.
         """
         while not self.in_doubt:
             left = self._heard_at + IDLE_LIMIT - self._clock.steady()
             if left <= 0:
-                self._begin_probing(IDLE_FRESH_AFTER)
+                self._start_probing(IDLE_NEW_CONNECTION_DELAY)
                 break
             await asyncio.sleep(left)
-        # It goes on for others if this wait is cancelled.
-        await asyncio.wait({self._prober})
+        # The probes go on for other users if this wait is cancelled.
+        await asyncio.wait({self._probe_task})
 
     async def confirm(self):
-        """Call the store once; whatever comes of it, it is not given up."""
+        """Probe the store once; a failure does not count as an outage."""
         if self.up:
-            await self._try(TIMEOUT)
+            await self._send_probe(PROBE_TIMEOUT)
 
-    def _begin_probing(self, fresh_after):
+    def _start_probing(self, new_connection_delay):
         if not self.in_doubt:
-            self._prober = self._tasks.spawn(self._watch(fresh_after))
+            self._probe_task = self._tasks.spawn(
+                self._monitor(new_connection_delay)
+            )
 
     async def wait_up(self):
-        """Wait until calls are worth making."""
+        """Wait until the store is up."""
         while not self.up:
-            # An outage of any length is no hang of who waits for its end.
+            # A loop that waits for an outage to end is not hung, so it keeps
+            # sending heartbeats however long the outage lasts.
             beat()
             with contextlib.suppress(asyncio.TimeoutError):
-                async with asyncio.timeout(BEAT_PAUSE):
+                async with asyncio.timeout(HEARTBEAT_INTERVAL):
                     await self._up.wait()
 
     async def wait_down(self):
-        """Wait until calls are not worth making."""
+        """Wait until the store is down."""
         await self._down.wait()
 
     async def wait_silence(self):
-        """Wait until kept connections turn out silent; the store is there."""
-        await self._silence.wait()
+        """Wait until pooled connections are found stalled; the store is up."""
+        await self._stalled.wait()
 
-    async def _watch(self, fresh_after):
-        """Probe the store until it answers.
+    async def _monitor(self, new_connection_delay):
+        """Probe the store until it answers, and track an outage.
 
-        :param fresh_after: seconds until a new connection is tried, too
+        :param new_connection_delay: seconds until a new connection is
+            tried as well
         """
-        if await self._try_both(fresh_after):
+        if await self._probe_pooled_then_new(new_connection_delay):
             return
         self._up.clear()
         self._down.set()
@@ -158,43 +169,60 @@
         self._back_at = self._clock.steady()
         self._down.clear()
         self._up.set()
-        away = self._back_at - lost_at
-        LOG.info("store_back", after=round(away, 3))
-
-    async def _try_both(self, fresh_after):
-        """Return whether a first probe was answered, of two if need be."""
-        begun_at = asyncio.get_running_loop().time()
-        fresh_timeout = FIRST_TIMEOUT - FRESH_AFTER
-        kept = asyncio.ensure_future(self._try(fresh_after + fresh_timeout))
-        done, _pending = await asyncio.wait({kept}, timeout=fresh_after)
-        if done and kept.result():
+        outage = self._back_at - lost_at
+        LOG.info("store_back", after=round(outage, 3))
+
+    async def _probe_pooled_then_new(self, new_connection_delay):
+        """Return whether a first probe was answered.
+
+        Probes on a pooled connection, then also on a new one if there is no
+        answer by then.
+
+        :param new_connection_delay: seconds until the probe on a new
+            connection
+        """
+        started_at = asyncio.get_running_loop().time()
+        new_timeout = FIRST_PROBE_TIMEOUT - NEW_CONNECTION_DELAY
+        pooled = asyncio.ensure_future(
+            self._send_probe(new_connection_delay + new_timeout)
+        )
+        done, _pending = await asyncio.wait(
+            {pooled}, timeout=new_connection_delay
+        )
+        if done and pooled.result():
             return True
-        fresh = asyncio.ensure_future(self._try(fresh_timeout, fresh=True))
+        new = asyncio.ensure_future(
+            self._send_probe(new_timeout, new_connection=True)
+        )
         try:
             await asyncio.wait(
-                {kept, fresh}, return_when=asyncio.FIRST_COMPLETED
+                {pooled, new}, return_when=asyncio.FIRST_COMPLETED
             )
-            if not kept.done() and fresh.result():
-                self._note_silence(begun_at)
+            if not pooled.done() and new.result():
+                self._report_stalled(started_at)
                 return True
-            return await kept or await fresh
+            return await pooled or await new
         finally:
-            kept.cancel()
-            fresh.cancel()
+            pooled.cancel()
+            new.cancel()
+
+    def _report_stalled(self, idle_since):
+        """Report that pooled connections may be stalled.
 
-    def _note_silence(self, opened_before):
-        """Let all know that connections opened before a time are silent."""
+        :param idle_since: the event loop's time at which the probe began;
+            connections idle since before it may be stalled
+        """
         LOG.info("store_connections_silent")
         if self.on_silence is not None:
-            self.on_silence(opened_before)
-        self._silence.set()
-        self._silence.clear()
+            self.on_silence(idle_since)
+        self._stalled.set()
+        self._stalled.clear()
 
     async def _probe_until_back(self):
         pending = set()
         try:
             while True:
-                probe = self._try(TIMEOUT, fresh=True)
+                probe = self._send_probe(PROBE_TIMEOUT, new_connection=True)
                 pending.add(asyncio.ensure_future(probe))
                 deadline = self._clock.steady() + INTERVAL
                 done, pending = await asyncio.wait(
@@ -209,16 +237,17 @@
             for task in pending:
                 task.cancel()
 
-    async def _try(self, timeout, fresh=False):
+    async def _send_probe(self, timeout, new_connection=False):
         """Return whether a probe was answered."""
         sent_at = self._clock.steady()
         try:
             async with asyncio.timeout(timeout):
-                await self._probe(fresh)
+                await self._probe(new_connection)
         except (StoreError, asyncio.TimeoutError):
             return False
         except Exception:
-            # Nobody else would ever find out that the store is back.
+            # No other task would detect that the store is up again, so an
+            # unexpected error must not end the probing.
             LOG.error("store_probe_failed", exc_info=True)
             return False
         self.note_answer(sent_at)
--- a/rowanport/store/store.py
+++ b/rowanport/store/store.py
@@ -1,4 +1,4 @@
-"""The key-value store: all that lasts goes through it."""
+"""Interfaces of the key-value stores that hold all persistent state."""
 
 import abc
 import urllib.parse
@@ -16,8 +16,8 @@
 class Value:
     """A stored value.
 
-    :ivar data: the bytes; empty when the key does not exist
-    :ivar version: rises with each write; 0 when the key does not exist
+    :ivar data: the value in bytes; empty if the key does not exist
+    :ivar version: increases with each write; 0 if the key does not exist
     """
 
     __slots__ = ("data", "version")
@@ -28,11 +28,11 @@
 
 
 class Store(abc.ABC):
-    """Compare-and-swap on whole values.
+    """A key-value store with compare-and-swap on whole values.
 
-    Each call raises StoreUnavailable when no answer came, in which case a
-    write may have taken effect, and StoreBusy when it was refused for its
-    rate, in which case it has not.
+    Each call raises StoreUnavailable if there was no valid response, in
+    which case a write may have taken effect, and StoreBusy if the store
+    rejected it by its rate limit, in which case it has not.
     """
 
     @abc.abstractmethod
@@ -41,26 +41,28 @@
 
     @abc.abstractmethod
     async def put(self, key, data, version):
-        """Write a key if its version still is the given one.
+        """Write a key if it still has the given version.
 
         :returns: the new version
-        :raises StoreConflict: the key has another version
+        :raises StoreConflict: if the key has another version
         """
 
     @abc.abstractmethod
     async def watch(self, key, version, wait):
-        """Return the Value once it is newer, or the same after a wait.
+        """Wait for a version newer than the given one and return its Value.
+
+        Returns the current Value if there is none within the wait.
 
         :param wait: longest wait in seconds
         """
 
 
 class Write:
-    """One key of a write of several.
+    """The write of one key in a transaction.
 
     :ivar version: version that the key must have, 0 if it must not exist,
         None for any
-    :ivar lease: lease with which the key goes, or None
+    :ivar lease: id of the lease whose end deletes the key, or None
     """
 
     __slots__ = ("key", "data", "version", "lease")
@@ -73,50 +75,55 @@
 
 
 class TransactionStore(abc.ABC):
-    """Writes several keys together, or none of them."""
+    """A key-value store that writes several keys atomically."""
 
     @abc.abstractmethod
     async def get_value(self, key, stale=False):
         """Return the Value of a key.
 
-        :param stale: whether an answer that is seconds old will do
-        :raises StoreError: no answer
+        :param stale: whether a value that is seconds old is acceptable
+        :raises StoreError: if the call failed
         """
 
     @abc.abstractmethod
     async def grant_lease(self, seconds):
-        """Return the id of a new lease that ends after some seconds.
+        """Create a lease and return its id.
 
-        :raises StoreError: no answer
+        :param seconds: time to live of the lease
+        :raises StoreError: if the call failed
         """
 
     @abc.abstractmethod
     async def renew_lease(self, lease):
-        """Let a lease begin anew, with the seconds it was granted for.
+        """Renew a lease for the time to live that it was granted with.
 
-        :raises LeaseOver: it has ended
-        :raises StoreError: no answer; it may be renewed later
+        :raises LeaseOver: if the lease has expired
+        :raises StoreError: if the call failed; the lease may still be
+            renewed later
         """
 
     @abc.abstractmethod
     async def commit(self, writes):
-        """Write all keys if each has the version that its Write names.
-
-        :returns: the new version of all of them
-        :raises StoreConflict: with the Values that the store has
-        :raises LeaseOver: a lease has ended; nothing was done
-        :raises StoreBusy: the store refused the call; nothing was done
-        :raises StoreUnavailable: no answer; it may still take effect
+        """Write all keys if each has the version that its Write requires.
+
+        :returns: the new version, which is the same for all keys
+        :raises StoreConflict: if a key has another version; holds the
+            Values in the store
+        :raises LeaseOver: if a lease has expired; nothing was written
+        :raises StoreBusy: if the store rejected the call; nothing was
+            written
+        :raises StoreUnavailable: if there was no response; the writes may
+            still take effect
         """
 
 
 class KeyValueStore(Store):
-    """A key-value store over HTTP, as our stand-in serves it.
+    """Client of a key-value store over HTTP, as the stand-in serves it.
 
     :param client: an HttpClient
     :param address: IP and port of the store
     :param instance: name of this instance
-    :param timeout: longest wait for one call in seconds
+    :param timeout: time limit of a call in seconds; a watch adds its wait
     """
 
     def __init__(self, client, address, instance, timeout):
@@ -133,7 +140,7 @@
 
     async def put(self, key, data, version):
         if len(data) > VALUE_LIMIT:
-            raise ValueError(f"the value of {key} is over 1 MB")
+            raise ValueError(f"value of {key} exceeds the limit of 1 MiB")
         self.writes += 1
         path = _path(key, version=version)
         value = await self._call("PUT", path, data, self._timeout)
