--- a/rowanport/gateway/freshness_tracker.py
+++ b/rowanport/gateway/freshness_tracker.py
@@ -40,7 +40,9 @@
     def store_availability(self):
         """Return the StoreAvailability, as far as this router knows it."""
         if self._reach is not None:
-            self._store_availability.record_answer(self._reach.heard_at)
+            self._store_availability.record_answer(
+                self._reach.last_answered_at
+            )
         return self._store_availability
 
     @property
@@ -129,7 +131,7 @@
 
         :param name: the prefix that it watches
         :param age: its WatchAge
-        :param reach: the Reach of the store
+        :param reach: the Reachability of the store
         """
         self._watches[name] = age
         self._reach = reach
--- a/rowanport/platform/sources.py
+++ b/rowanport/platform/sources.py
@@ -155,7 +155,7 @@
         self._silent = False
         self._age.begin(self._clock.steady())
         down = asyncio.ensure_future(self._store.reach.wait_down())
-        silence = asyncio.ensure_future(self._store.reach.wait_silence())
+        silence = asyncio.ensure_future(self._store.reach.wait_stalled())
         try:
             await asyncio.wait(
                 (watch, down, silence), return_when=asyncio.FIRST_COMPLETED
@@ -179,7 +179,7 @@
             LOG.info("watch_lost", prefix=self.prefix, error=str(error))
         # Nobody else may call the store at this time, and what became of it
         # decides whether entries that go are taken for lapsed.
-        self._store.reach.note_failure()
+        self._store.reach.record_failure()
         # A list is quicker than a watch to say that the store is back.
         self._revision = None
 
@@ -325,11 +325,11 @@
         reach = self._store.reach
         if not views.freshness.may_have_expired:
             return self._mass_grace_until
-        if reach.in_doubt:
+        if reach.is_probing:
             return math.inf
-        if reach.back_at is None:
+        if reach.recovered_at is None:
             return self._mass_grace_until
-        return max(self._mass_grace_until, reach.back_at + EXPIRY_GRACE)
+        return max(self._mass_grace_until, reach.recovered_at + EXPIRY_GRACE)
 
     def _miss(self, views, gone):
         """Keep entries for a while that may have lapsed in an outage.
@@ -367,7 +367,7 @@
             await asyncio.sleep(CONFIRM_PAUSE)
             if views.watches_store and views.freshness.aging:
                 await reach.confirm()
-                views.freshness.record_contact(reach.heard_at)
+                views.freshness.record_contact(reach.last_answered_at)
 
     async def _run_settling(self, views):
         """Drop what stays missing, and take in what nobody objected to."""
--- a/rowanport/platform/store.py
+++ b/rowanport/platform/store.py
@@ -12,7 +12,7 @@
 from ..errors import StoreSilent
 from ..errors import StoreUnavailable
 from ..errors import UpstreamError
-from ..store import Reach
+from ..store import Reachability
 from ..store import TransactionStore
 from ..store import Value
 from ..store import Write
@@ -74,12 +74,12 @@
         self._client = client
         self._address = address
         self._clock = clock
-        self._reach = Reach(self._probe, clock)
-        self._reach.on_silence = client.doubt
+        self._reach = Reachability(self._probe, clock)
+        self._reach.on_stalled = client.doubt
 
     @property
     def reach(self):
-        """Return the Reach: whether the store answers calls at all.
+        """Return the Reachability: whether the store answers calls at all.
 
         Watches do not count: one that waits may be cut at any time.
         """
@@ -197,9 +197,9 @@
         try:
             answer = await self._exchange(method, path, query, body)
         except StoreError:
-            self._reach.note_failure()
+            self._reach.record_failure()
             raise
-        self._reach.note_answer(sent_at)
+        self._reach.record_answer(sent_at)
         return answer
 
     async def _exchange(
--- a/rowanport/store/__init__.py
+++ b/rowanport/store/__init__.py
@@ -3,7 +3,7 @@
 from .directory import Directory
 from .directory import Instance
 from .directory import InstanceDirectory
-from .reach import Reach
+from .reach import Reachability
 from .store import KeyValueStore
 from .store import Store
 from .store import TransactionStore
@@ -15,7 +15,7 @@
     "Instance",
     "InstanceDirectory",
     "KeyValueStore",
-    "Reach",
+    "Reachability",
     "Store",
     "TransactionStore",
     "Value",
--- a/rowanport/store/reach.py
+++ b/rowanport/store/reach.py
@@ -49,14 +49,14 @@
 HEARTBEAT_INTERVAL = 1.0
 
 
-class Reach:
+class Reachability:
     """Monitors whether one store can be reached.
 
     :param probe: coroutine function that makes a cheap call and raises
         StoreError if it fails; its argument is whether to use a new
         connection
     :param clock: a Clock
-    :ivar on_silence: function that is called when pooled connections are
+    :ivar on_stalled: function that is called when pooled connections are
         found to be stalled, with the event loop's time at which the probe
         began; connections idle since before it may be stalled
     """
@@ -68,9 +68,9 @@
         self._up.set()
         self._down = asyncio.Event()
         self._stalled = asyncio.Event()
-        self._back_at = None
-        self._heard_at = clock.steady()
-        self.on_silence = None
+        self._recovered_at = None
+        self._last_answered_at = clock.steady()
+        self.on_stalled = None
         self._tasks = TaskSet()
         self._probe_task = None
 
@@ -80,33 +80,33 @@
         return self._up.is_set()
 
     @property
-    def back_at(self):
+    def recovered_at(self):
         """Return the monotonic time at which the last outage ended.
 
         None if there was no outage so far.  A failed call alone is none: the
         probes after it must fail as well.
         """
-        return self._back_at
+        return self._recovered_at
 
     @property
-    def heard_at(self):
+    def last_answered_at(self):
         """Return the monotonic time when the last answered call was sent."""
-        return self._heard_at
+        return self._last_answered_at
 
     @property
-    def in_doubt(self):
+    def is_probing(self):
         """Return whether probes are running to find out if the store is up."""
         return self._probe_task is not None and not self._probe_task.done()
 
-    def note_answer(self, sent_at):
+    def record_answer(self, sent_at):
         """Record that a call was answered.
 
         :param sent_at: monotonic time at which the call was sent; the store
             may have gone down since then
         """
-        self._heard_at = max(self._heard_at, sent_at)
+        self._last_answered_at = max(self._last_answered_at, sent_at)
 
-    def note_failure(self):
+    def record_failure(self):
         """Record that a call failed, and probe whether the store is down."""
         self._start_probing(NEW_CONNECTION_DELAY)
 
@@ -115,8 +115,8 @@
 
         Returns when the store has answered a probe.
         """
-        while not self.in_doubt:
-            left = self._heard_at + IDLE_LIMIT - self._clock.steady()
+        while not self.is_probing:
+            left = self._last_answered_at + IDLE_LIMIT - self._clock.steady()
             if left <= 0:
                 self._start_probing(IDLE_NEW_CONNECTION_DELAY)
                 break
@@ -130,7 +130,7 @@
             await self._send_probe(PROBE_TIMEOUT)
 
     def _start_probing(self, new_connection_delay):
-        if not self.in_doubt:
+        if not self.is_probing:
             self._probe_task = self._tasks.spawn(
                 self._monitor(new_connection_delay)
             )
@@ -149,7 +149,7 @@
         """Wait until the store is down."""
         await self._down.wait()
 
-    async def wait_silence(self):
+    async def wait_stalled(self):
         """Wait until pooled connections are found stalled; the store is up."""
         await self._stalled.wait()
 
@@ -165,11 +165,11 @@
         self._down.set()
         lost_at = self._clock.steady()
         LOG.info("store_lost")
-        await self._probe_until_back()
-        self._back_at = self._clock.steady()
+        await self._probe_until_up()
+        self._recovered_at = self._clock.steady()
         self._down.clear()
         self._up.set()
-        outage = self._back_at - lost_at
+        outage = self._recovered_at - lost_at
         LOG.info("store_back", after=round(outage, 3))
 
     async def _probe_pooled_then_new(self, new_connection_delay):
@@ -213,12 +213,12 @@
             connections idle since before it may be stalled
         """
         LOG.info("store_connections_silent")
-        if self.on_silence is not None:
-            self.on_silence(idle_since)
+        if self.on_stalled is not None:
+            self.on_stalled(idle_since)
         self._stalled.set()
         self._stalled.clear()
 
-    async def _probe_until_back(self):
+    async def _probe_until_up(self):
         pending = set()
         try:
             while True:
@@ -250,5 +250,5 @@
             # unexpected error must not end the probing.
             LOG.error("store_probe_failed", exc_info=True)
             return False
-        self.note_answer(sent_at)
+        self.record_answer(sent_at)
         return True
--- a/test/platform_world.py
+++ b/test/platform_world.py
@@ -169,7 +169,7 @@
 
     @property
     def reach(self):
-        """Return the gateway's Reach of the store."""
+        """Return the gateway's Reachability of the store."""
         return self.gateway._sources[0]._store.reach
 
     @property
--- a/test/test_peer_connections.py
+++ b/test/test_peer_connections.py
@@ -301,7 +301,8 @@
                 lost.append(host)
         await asyncio.sleep(0.02)
     backs = [
-        g._sources[0]._store.reach.back_at for g in fleet.gateways.values()
+        g._sources[0]._store.reach.recovered_at
+        for g in fleet.gateways.values()
     ]
     print(seconds, "lost by", lost, backs)
     await fleet.close()
--- a/test/test_sources.py
+++ b/test/test_sources.py
@@ -192,7 +192,7 @@
     reach = follower.store.reach
     await asyncio.sleep(5.0)
     follower.standin.fault = "silent"
-    reach.note_failure()
+    reach.record_failure()
     await asyncio.sleep(0.3)
     await follower.drop("two")
     await asyncio.sleep(0.1)
@@ -231,7 +231,7 @@
         await asyncio.sleep(DROP_SECONDS)
         assert follower.known == set(NAMES) - set(names), phase
         await follower.bring_back(*names)
-    assert follower.store.reach.back_at is None
+    assert follower.store.reach.recovered_at is None
 
 
 @on_follower
@@ -257,7 +257,7 @@
 @on_follower
 async def test_a_slow_store_is_not_taken_for_one_that_went_silent(follower):
     silences = []
-    follower.store.reach.on_silence = silences.append
+    follower.store.reach.on_stalled = silences.append
     follower.standin.slow = 0.24
     await asyncio.sleep(10.0)
     follower.standin.calls.clear()
--- a/test/test_supervision.py
+++ b/test/test_supervision.py
@@ -17,7 +17,7 @@
 
 from rowanport import supervision
 from rowanport.errors import StoreUnavailable
-from rowanport.store import Reach
+from rowanport.store import Reachability
 from rowanport.supervision import FAILING_ENDS
 from rowanport.supervision import FIRST_PAUSE
 from rowanport.supervision import LONGEST_PAUSE
@@ -238,10 +238,10 @@
         if faults:
             raise faults.pop(0)
 
-    reach = Reach(probe, LoopClock(scene.loop))
+    reach = Reachability(probe, LoopClock(scene.loop))
 
     async def lose():
-        reach.note_failure()
+        reach.record_failure()
         async with asyncio.timeout(10.0):
             await reach.wait_down()
             await reach.wait_up()
--- a/test/test_young_views.py
+++ b/test/test_young_views.py
@@ -44,11 +44,11 @@
         return rendezvous("store", known)[:least]
 
 
-class WellReach:
+class AlwaysReachable:
     """The reachability of a store that was never out."""
 
-    in_doubt = False
-    back_at = None
+    is_probing = False
+    recovered_at = None
 
 
 class OldStore:
@@ -56,7 +56,7 @@
 
     def __init__(self):
         self.calls = []
-        self.reach = WellReach()
+        self.reach = AlwaysReachable()
 
     async def get(self, key, stale=False):
         self.calls.append(("get", stale))
