--- a/rowanport/config/__init__.py
+++ b/rowanport/config/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' configuration: published once, in force everywhere."""
+"""The operators' configuration, published in the store for all routers."""
 
 from .editor import ConfigEditor
 from .follower import ConfigFollower
--- a/rowanport/config/audit.py
+++ b/rowanport/config/audit.py
@@ -1,22 +1,31 @@
-"""The audit trail: in the changed record itself, spilled when it grows."""
+"""The audit trail of a record.
+
+The latest entries are part of the changed record itself; older ones move to
+linked pages in the store.
+"""
 
 from ..errors import StoreConflict
 from ..hashing import content_hash
 from ..schema.messages import AuditPage
 
+# Largest number of entries in the record itself; also the size of a page.
 TAIL = 50
 
 
 def page_key(digest):
-    """Return the store key of a page of older records."""
+    """Return the store key of a page of older entries.
+
+    :param digest: content hash of the packed page
+    """
     return f"audit/{digest}"
 
 
 async def append(store, record, entry):
-    """Add an AuditRecord to a record that is about to be written.
+    """Append an AuditRecord to a record that is about to be written.
 
-    Older entries move to a page named by its content, written first; so a
-    crash in between loses nothing and repeats nothing.
+    If the record is full, its entries move to a page first.  The page is
+    written before the record, under a key derived from its content, so a
+    crash between both writes neither loses nor duplicates entries.
     """
     if len(record.audit) >= TAIL:
         page = AuditPage(record.audit, record.audit_page).pack()
@@ -28,7 +37,7 @@
 
 
 async def write_once(store, key, data):
-    """Write a value that its key names, unless it is there already."""
+    """Write a value under a key derived from its content, if it is absent."""
     try:
         await store.put(key, data, 0)
     except StoreConflict:
@@ -48,7 +57,12 @@
 
 
 def find_change(record, change):
-    """Return the AuditRecord of a change among the latest, or None."""
+    """Return the AuditRecord of a change from the record itself, or None.
+
+    Entries that have moved to pages are not searched.
+
+    :param change: id of the change
+    """
     for entry in record.audit:
         if entry.change == change:
             return entry
--- a/rowanport/config/editor.py
+++ b/rowanport/config/editor.py
@@ -1,4 +1,7 @@
-"""Operators' changes of the configuration: one CAS on the root each."""
+"""Operators' changes to the configuration.
+
+Each is published by one compare-and-swap on the root record.
+"""
 
 import asyncio
 
@@ -20,16 +23,19 @@
 from .snapshot import Snapshot
 from .snapshot import UPSTREAMS
 
-TRIES = 8
+MAX_ATTEMPTS = 8
+# Seconds before the next attempt after the store failed or refused a call.
 PAUSE = 0.1
 
 
 class Change:
-    """A change of one part.
+    """A change to one part of the configuration.
 
     :ivar part: name of the part
     :ivar data: its new packed value
-    :ivar what: what is changed, for the audit trail
+    :ivar what: name of the changed object, for the audit trail
+    :ivar before: the old value as the audit trail shows it, empty if none
+    :ivar after: the new value as the audit trail shows it
     """
 
     __slots__ = ("part", "data", "what", "before", "after")
@@ -56,7 +62,10 @@
         self._clock = clock
 
     async def read(self):
-        """Return the Snapshot in the store and the root's store version."""
+        """Return the Snapshot in the store and the root's store version.
+
+        :raises StoreError: if a call of the store failed
+        """
         value = await self._store.get(ROOT_KEY)
         root = RootRecord.unpack(value.data) if value.data else empty_root()
         digests = sorted(set(root.parts.values()))
@@ -68,17 +77,22 @@
     async def apply(self, change_id, make, expected=None):
         """Publish a change.
 
-        A change that lost a race is made again from the newer state, unless
-        ``expected`` names the version that it must build on.
+        If another change is published first, this one is computed again from
+        the newer state, unless ``expected`` requires a certain version.
 
-        :param change_id: the same id again does nothing
+        :param change_id: id that makes the call idempotent: a change whose id
+            is among the latest of the audit trail is not applied again
         :param make: function from Snapshot to Change; raises UserError
-        :param expected: configuration version to build on, or None
-        :returns: the configuration version that holds the change
-        :raises ConflictError: another operator's change came first
+        :param expected: configuration version that must be the current one,
+            or None for any
+        :returns: a configuration version that includes the change
+        :raises ConflictError: if another operator's change was published
+            first
+        :raises UserError: if ``make`` rejects the change, or the store does
+            not answer; the change may have taken effect in the latter case
         """
         failure = None
-        for _try in range(TRIES):
+        for _attempt in range(MAX_ATTEMPTS):
             try:
                 return await self._apply_once(change_id, make, expected)
             except StoreConflict as error:
@@ -87,11 +101,14 @@
                 failure = error
                 await asyncio.sleep(PAUSE)
             except StoreError as error:
-                # The write may have taken effect; the next try sees.
+                # The write may have taken effect: the next attempt looks for
+                # the change id in the audit trail.
                 failure = error
                 await asyncio.sleep(PAUSE)
         if isinstance(failure, StoreConflict):
-            raise ConflictError("other operators keep changing first")
+            raise ConflictError(
+                "conflicting changes by other operators; try again later"
+            )
         raise UserError(
             f"the store does not answer; change {change_id} may have taken"
             f" effect, repeat it with the same id to be sure: {failure}"
@@ -103,7 +120,7 @@
             return snapshot.version
         if expected is not None and snapshot.version != expected:
             raise ConflictError(
-                f"version {snapshot.version} is in force, not {expected}:"
+                f"version {snapshot.version} is active, not {expected}:"
                 " another operator's change came first; nothing was changed"
             )
         change = make(snapshot)
@@ -146,9 +163,9 @@
     """Return a change that adds or replaces an organisation."""
 
     def make(snapshot):
-        known = snapshot.organisations.get(record.name)
-        if known is not None and not replace:
-            raise UserError(f"organisation {record.name!r} exists")
+        existing = snapshot.organisations.get(record.name)
+        if existing is not None and not replace:
+            raise UserError(f"organisation {record.name!r} already exists")
         part = organisations_part(record.name)
         members = {
             name: other
@@ -158,12 +175,18 @@
         members[record.name] = record
         data = OrganisationsPart(members).pack()
         what = f"organisation {record.name}"
-        return Change(part, data, what, _weight(known), _weight(record))
+        return Change(
+            part,
+            data,
+            what,
+            _describe_organisation(existing),
+            _describe_organisation(record),
+        )
 
     return make
 
 
-def _weight(record):
+def _describe_organisation(record):
     if record is None:
         return ""
     return (
@@ -180,7 +203,9 @@
         data = UpstreamsPart(groups, snapshot.upstreams).pack()
         before = snapshot.groups.get(group.name)
         what = f"group {group.name}"
-        return Change(UPSTREAMS, data, what, _text(before), _text(group))
+        return Change(
+            UPSTREAMS, data, what, _describe(before), _describe(group)
+        )
 
     return make
 
@@ -195,7 +220,9 @@
         data = UpstreamsPart(snapshot.groups, upstreams).pack()
         before = snapshot.upstreams.get(upstream.address)
         what = f"upstream {upstream.address}"
-        return Change(UPSTREAMS, data, what, _text(before), _text(upstream))
+        return Change(
+            UPSTREAMS, data, what, _describe(before), _describe(upstream)
+        )
 
     return make
 
@@ -211,5 +238,5 @@
     return make
 
 
-def _text(record):
+def _describe(record):
     return "" if record is None else repr(record)
--- a/rowanport/config/follower.py
+++ b/rowanport/config/follower.py
@@ -1,9 +1,9 @@
-"""Keeps a router's configuration at the highest version known.
+"""Keeps a router's configuration at the highest known version.
 
-Few routers of a cell watch the store; the others hear of a new version by
-gossip and fetch it from a peer.  So a router that is cut off from the
-store, or starts while the store is out, follows all the same.  A lower
-version is never applied.
+Only a few routers of a cell watch the store; the others learn of a new version
+by gossip and fetch it from a peer.  So a router that cannot reach the store,
+or starts during an outage of it, still gets new versions.  A lower version is
+never applied.
 """
 
 import asyncio
@@ -26,18 +26,28 @@
 from .snapshot import verify_part
 
 LOG = structlog.get_logger(__name__)
+# Routers of a cell that watch the store; the others poll it.
 WATCHERS = 2
-WATCH_WAIT = 20.0
-PEER_PAUSE = 0.5
-STORE_PAUSE = 1.0
-POLL_PAUSE = 5.0
+# Longest wait of a watch in seconds.
+WATCH_TIMEOUT = 20.0
+# Seconds between two checks for a newer version among the peers.
+PEER_CHECK_INTERVAL = 0.5
+# Seconds before the next call after one that failed, and after each poll.
+STORE_RETRY_DELAY = 1.0
+# Seconds that a router which does not watch waits before each poll.
+POLL_INTERVAL = 5.0
+# Time limit of a call to a peer in seconds.
 FETCH_TIMEOUT = 2.0
 
 
 class ConfigFollower:
-    """Holds the configuration in force at one router.
+    """Holds the active configuration of one router.
 
-    :param on_change: function that is given each new Snapshot
+    :param store: the Store
+    :param peers: client for calls to other routers
+    :param members: the list of the cell's routers, kept by gossip
+    :param on_change: function that is called with each new Snapshot
+    :ivar snapshot: the active Snapshot
     """
 
     def __init__(self, store, peers, members, on_change):
@@ -48,13 +58,15 @@
         self._store_version = 0
         self.snapshot = empty_snapshot()
 
-    # Taking in
+    # Applying
 
     def offer(self, root, parts):
-        """Put a configuration in force if it is newer; say whether.
+        """Apply a configuration if it is newer and complete.
 
+        :param root: its RootRecord
         :param parts: packed parts by content hash, at least those that
-            the configuration in force does not have
+            the active configuration does not have
+        :returns: whether it was applied
         """
         if root.version <= self.snapshot.version:
             return False
@@ -74,7 +86,11 @@
     # Peers
 
     def handle(self, message):
-        """Answer a ConfigAsk of a peer."""
+        """Answer a ConfigAsk of a peer with a ConfigGive.
+
+        It holds the requested parts as far as they are known or, if the peer
+        asks for none, the root if it is newer than the peer's version.
+        """
         snapshot = self.snapshot
         if message.parts:
             parts = {
@@ -88,7 +104,7 @@
 
     async def _run_peers(self):
         while True:
-            await asyncio.sleep(PEER_PAUSE)
+            await asyncio.sleep(PEER_CHECK_INTERVAL)
             newest = self._members.newest_config()
             if newest.config <= self.snapshot.version:
                 continue
@@ -123,14 +139,14 @@
             watching = self._members.own_entry.incarnation in order[:WATCHERS]
             try:
                 if watching or not self._store_version:
-                    await self._watch(WATCH_WAIT if watching else 0.0)
+                    await self._watch(WATCH_TIMEOUT if watching else 0.0)
                 else:
-                    await asyncio.sleep(POLL_PAUSE)
+                    await asyncio.sleep(POLL_INTERVAL)
                     await self._watch(0.0)
             except (StoreError, MessageError):
-                await asyncio.sleep(STORE_PAUSE)
+                await asyncio.sleep(STORE_RETRY_DELAY)
             if not watching:
-                await asyncio.sleep(STORE_PAUSE)
+                await asyncio.sleep(STORE_RETRY_DELAY)
 
     async def _watch(self, wait):
         value = await self._store.watch(ROOT_KEY, self._store_version, wait)
@@ -146,5 +162,5 @@
         self._store_version = value.version
 
     async def run(self):
-        """Follow until cancelled."""
+        """Follow the store and the peers until cancelled."""
         await asyncio.gather(self._run_store(), self._run_peers())
--- a/rowanport/config/snapshot.py
+++ b/rowanport/config/snapshot.py
@@ -1,4 +1,4 @@
-"""A configuration as a router uses it, and its parts as stored."""
+"""A version of the configuration, decoded from its stored parts."""
 
 from ..hashing import content_hash
 from ..hashing import shard_of
@@ -10,7 +10,8 @@
 from ..schema.messages import UpstreamsPart
 
 ROOT_KEY = "config/root"
-BUCKETS = 64
+# Number of parts over which organisations are spread by a hash of their name.
+ORGANISATION_PARTS = 64
 POLICY = "policy"
 UPSTREAMS = "upstreams"
 
@@ -22,26 +23,27 @@
 
 def organisations_part(name):
     """Return the name of the part that holds an organisation."""
-    return f"organisations/{shard_of(name, BUCKETS)}"
+    return f"organisations/{shard_of(name, ORGANISATION_PARTS)}"
 
 
 def empty_root():
-    """Return the root before the first change."""
+    """Return the root of the configuration before the first change."""
     return RootRecord(0, "", {}, [], "")
 
 
 class Snapshot:
-    """One version of the configuration, whole and compiled.
+    """One complete version of the configuration, decoded and compiled.
 
     :param root: the RootRecord
     :param parts: packed parts by content hash
-    :param previous: an older Snapshot, whose unchanged parts are not read
-        again: reading all of a large configuration would hold up the loop
+    :param previous: an older Snapshot, whose decoded parts are reused where
+        they are unchanged: decoding all of a large configuration would block
+        the event loop
     """
 
     def __init__(self, root, parts, previous=None):
-        self._known = previous._read_parts if previous else {}
-        self._read_parts = {}
+        self._reusable_parts = previous._decoded_parts if previous else {}
+        self._decoded_parts = {}
         self.root = root
         self.parts = {
             digest: parts[digest]
@@ -53,12 +55,12 @@
         self.upstreams = {}
         self.policy = None
         for name, digest in root.parts.items():
-            part = self._known.get(digest)
+            part = self._reusable_parts.get(digest)
             if part is None:
-                part = _read_part(name, self.parts[digest])
-            self._read_parts[digest] = part
-            self._take(name, part)
-        self._known = {}
+                part = _decode_part(name, self.parts[digest])
+            self._decoded_parts[digest] = part
+            self._apply_part(name, part)
+        self._reusable_parts = {}
         if self.policy is None:
             self.policy = Policy(DEFAULT_SOURCE)
 
@@ -66,7 +68,7 @@
     def version(self):
         return self.root.version
 
-    def _take(self, name, part):
+    def _apply_part(self, name, part):
         if name == POLICY:
             self.policy = part
         elif name == UPSTREAMS:
@@ -76,8 +78,8 @@
             self.organisations.update(part.organisations)
 
 
-def _read_part(name, data):
-    """Return a part as it is used: a policy compiled, others unpacked."""
+def _decode_part(name, data):
+    """Decode a part: compile the policy, unpack the others."""
     if name == POLICY:
         return Policy(PolicyRecord.unpack(data).source)
     if name == UPSTREAMS:
@@ -91,10 +93,10 @@
 
 
 def missing_parts(root, parts):
-    """Return the content hashes that a root names and ``parts`` lacks."""
+    """Return the content hashes in a root that ``parts`` does not have."""
     return sorted(set(root.parts.values()) - set(parts))
 
 
 def verify_part(digest, data):
-    """Return whether the data are what the content hash names."""
+    """Return whether the data match the content hash."""
     return content_hash(data) == digest
