--- a/rowanport/config/audit.py
+++ b/rowanport/config/audit.py
@@ -9,7 +9,7 @@
 from ..schema.messages import AuditPage
 
 # Largest number of entries in the record itself; also the size of a page.
-TAIL = 50
+MAX_INLINE_ENTRIES = 50
 
 
 def page_key(digest):
@@ -27,7 +27,7 @@
     written before the record, under a key derived from its content, so a
     crash between both writes neither loses nor duplicates entries.
     """
-    if len(record.audit) >= TAIL:
+    if len(record.audit) >= MAX_INLINE_ENTRIES:
         page = AuditPage(record.audit, record.audit_page).pack()
         key = page_key(content_hash(page))
         await write_once(store, key, page)
--- a/rowanport/config/editor.py
+++ b/rowanport/config/editor.py
@@ -147,7 +147,9 @@
         return root.version
 
     async def _is_applied(self, root, change_id):
-        recent = await audit.read_trail(self._store, root, 2 * audit.TAIL)
+        recent = await audit.read_trail(
+            self._store, root, 2 * audit.MAX_INLINE_ENTRIES
+        )
         return any(entry.change == change_id for entry in recent)
 
     async def trail(self, limit):
--- a/rowanport/ledger/editor.py
+++ b/rowanport/ledger/editor.py
@@ -106,7 +106,9 @@
         key = shard_key(self._shard(name))
         value = await self._store.get(key)
         record = read_shard(value)
-        recent = await audit.read_trail(self._store, record, 2 * audit.TAIL)
+        recent = await audit.read_trail(
+            self._store, record, 2 * audit.MAX_INLINE_ENTRIES
+        )
         if any(entry.change == change_id for entry in recent):
             return
         before, after = make(record)
