--- a/rowanport/store/reach.py
+++ b/rowanport/store/reach.py
@@ -42,7 +42,7 @@
 IDLE_NEW_CONNECTION_DELAY = 0.3
 # Seconds between two probes of a store that is down; they overlap if the
 # store does not answer.
-INTERVAL = 0.3
+PROBE_INTERVAL = 0.3
 # Time limit of each of these probes in seconds.
 PROBE_TIMEOUT = 1.0
 # Seconds between the heartbeats of a loop that waits for an outage to end.
@@ -224,10 +224,10 @@
             while True:
                 probe = self._send_probe(PROBE_TIMEOUT, new_connection=True)
                 pending.add(asyncio.ensure_future(probe))
-                deadline = self._clock.steady() + INTERVAL
+                deadline = self._clock.steady() + PROBE_INTERVAL
                 done, pending = await asyncio.wait(
                     pending,
-                    timeout=INTERVAL,
+                    timeout=PROBE_INTERVAL,
                     return_when=asyncio.FIRST_COMPLETED,
                 )
                 if any(task.result() for task in done):
--- a/test/test_platform.py
+++ b/test/test_platform.py
@@ -467,9 +467,9 @@
     await asyncio.sleep(3.0)
     calls = platform.store.calls[before:]
     assert set(calls) == {"/kv-key"}
-    assert len(calls) <= 3.0 / reach.INTERVAL + 2
+    assert len(calls) <= 3.0 / reach.PROBE_INTERVAL + 2
     platform.store.fault = ""
-    await platform.wait(lambda: platform.reach.up, reach.INTERVAL + 0.2)
+    await platform.wait(lambda: platform.reach.up, reach.PROBE_INTERVAL + 0.2)
     await platform.wait(
         lambda: "three" in platform.gateway.upstreams.upstreams
     )
