--- a/test/test_config.py
+++ b/test/test_config.py
@@ -1,8 +1,8 @@
-"""Configuration under races, lost answers, outages and stale peers.
+"""Configuration under concurrent changes, lost responses and outages.
 
-A state machine publishes through several editors and spreads versions
-between followers; the oracle checks that a router's version only rises and
-that every change which was accepted is in force in the end, once.
+A state machine publishes concurrent changes and spreads versions between
+followers, some of them stale.  It checks that a router's version only
+increases, and that in the end each accepted change is active and audited once.
 """
 
 import asyncio
@@ -38,7 +38,7 @@
 
 
 class MemoryStore(Store):
-    """A store that can be down, lose answers, and be raced."""
+    """A store that can be down, lose responses and interleave writes."""
 
     def __init__(self):
         self.values = {}
@@ -185,14 +185,14 @@
     run_machine(ConfigMachine, 150)
 
 
-# Broken variants: each must be found
+# Broken variants, each of which the state machine must detect
 
 
 @contextlib.contextmanager
-def older_version_taken():
+def older_version_applied():
     offer = ConfigFollower.offer
 
-    def credulous(self, root, parts):
+    def offer_any_version(self, root, parts):
         if root.version < self.snapshot.version:
             self.snapshot.root.version = 0
         return offer(self, root, parts)
@@ -203,26 +203,26 @@
 
     real = ConfigFollower.handle
     with (
-        mock.patch.object(ConfigFollower, "offer", credulous),
+        mock.patch.object(ConfigFollower, "offer", offer_any_version),
         mock.patch.object(ConfigFollower, "handle", handle),
     ):
         yield
 
 
 @contextlib.contextmanager
-def lost_answer_taken_for_a_failure():
-    async def never(self, root, change):
+def lost_response_treated_as_failure():
+    async def never_applied(self, root, change):
         return False
 
-    with mock.patch.object(ConfigEditor, "_is_applied", never):
+    with mock.patch.object(ConfigEditor, "_is_applied", never_applied):
         yield
 
 
 @contextlib.contextmanager
-def root_written_without_comparing():
+def root_written_without_version_check():
     put = MemoryStore.put
 
-    async def force(self, key, data, version):
+    async def put_unchecked(self, key, data, version):
         if key == ROOT_KEY:
             race, self.before_root = self.before_root, None
             if race is not None:
@@ -230,23 +230,23 @@
             version = self.values.get(key, (0, b""))[0]
         return await put(self, key, data, version)
 
-    with mock.patch.object(MemoryStore, "put", force):
+    with mock.patch.object(MemoryStore, "put", put_unchecked):
         yield
 
 
 @pytest.mark.parametrize(
     "broken",
     (
-        older_version_taken,
-        lost_answer_taken_for_a_failure,
-        root_written_without_comparing,
+        older_version_applied,
+        lost_response_treated_as_failure,
+        root_written_without_version_check,
     ),
     ids=lambda broken: broken.__name__,
 )
-def test_the_machine_finds(broken):
+def test_the_state_machine_detects(broken):
     with broken(), pytest.raises((AssertionError, UserError)):
         run_machine(ConfigMachine, 300)
 
 
-def test_watchers_are_few_and_named_by_the_cell():
+def test_a_cell_has_two_watchers():
     assert follower_module.WATCHERS == 2
