--- a/rowanport/gateway/daemon.py
+++ b/rowanport/gateway/daemon.py
@@ -61,9 +61,9 @@
     "forget_after": 60.0,
     "list_interval": 10.0,
 }
-# Time-out in seconds between two heartbeats of a supervised loop, and of a
-# loop that watches the store, for up to 21 s at a time, or reads it
-# periodically.
+# Maximum seconds between two heartbeats of a supervised loop.  Loops that
+# watch the store, for up to 21 s at a time, or read it periodically have a
+# longer limit.
 LOOP_TIMEOUT = 10.0
 STORE_LOOP_TIMEOUT = 30.0
 # Seconds between two checks whether the gateway can become ready.
--- a/rowanport/gateway/freshness.py
+++ b/rowanport/gateway/freshness.py
@@ -15,8 +15,8 @@
 AGE_LIMIT = 1.1
 # Age in seconds from which on several peers are queried at once.
 AGING_THRESHOLD = 0.6
-# Age in seconds of the last answered query up to which this router's own link
-# is considered to pass on what its peers know.
+# Maximum seconds since the last answered query was sent for this router's own
+# link to count as working, so that any newer view of its peers would arrive.
 CONTACT_LIMIT = 0.9
 # Age in seconds that is reported for a view that was never confirmed.
 UNKNOWN_AGE = 10000.0
--- a/rowanport/gateway/store_watchers.py
+++ b/rowanport/gateway/store_watchers.py
@@ -1,4 +1,4 @@
-"""Chooses the routers that watch the store for all, and who gets updates."""
+"""Selects the routers that watch the store, and the recipients of updates."""
 
 from ..incarnation import address_of
 from ..membership.members import STORE_DUTY
