--- a/rowanport/gateway/blocklist.py
+++ b/rowanport/gateway/blocklist.py
@@ -70,7 +70,7 @@
         while True:
             beat()
             try:
-                await self._look()
+                await self._load_and_save()
                 self._failing = False
             except StoreError as error:
                 self._log_failure(error)
@@ -103,7 +103,7 @@
             return False
         return self._address in store_watchers(self._members)
 
-    async def _look(self):
+    async def _load_and_save(self):
         if self._must_load:
             self._value = await self._store.get_value(BLOCKED_KEY)
             self._loaded = True
--- a/rowanport/gateway/crash_guard.py
+++ b/rowanport/gateway/crash_guard.py
@@ -338,10 +338,10 @@
         """Expire and clear suspects periodically, until cancelled."""
         while True:
             beat()
-            self._settle()
+            self._expire_and_clear()
             await asyncio.sleep(SETTLE_INTERVAL)
 
-    def _settle(self):
+    def _expire_and_clear(self):
         """Expire old suspects, and clear those a blocked request explains."""
         now = self._clock.steady()
         self.table.expire(now)
--- a/test/test_loop_heartbeats.py
+++ b/test/test_loop_heartbeats.py
@@ -146,7 +146,7 @@
         "heartbeats": (gateway._membership, "_send"),
         "router_list": (gateway._membership, "_read_list"),
         "budgets": (gateway.budgets._refill, "sync"),
-        "blocklist": (gateway._blocklist, "_look"),
+        "blocklist": (gateway._blocklist, "_load_and_save"),
     }[name]
     return mock.patch.object(owner, method, hang)
 
--- a/test/test_supervision.py
+++ b/test/test_supervision.py
@@ -169,8 +169,8 @@
         "router_list": (gateway._membership._directory, "instances"),
         "views": (gateway._views, "_sources"),
         "budgets": (gateway.budgets._refill, "sync"),
-        "suspects": (gateway.crashes, "_settle"),
-        "blocklist": (gateway._blocklist, "_look"),
+        "suspects": (gateway.crashes, "_expire_and_clear"),
+        "blocklist": (gateway._blocklist, "_load_and_save"),
     }
 
 
