--- a/rowanport/gateway/store_watchers.py
+++ b/rowanport/gateway/store_watchers.py
@@ -1,4 +1,4 @@
-"""Chooses which routers watch the store, and which get updates at once."""
+"""Selects the routers that watch the store, and the recipients of updates."""
 
 from ..incarnation import address_of
 from ..membership.members import STORE_DUTY
--- a/test/test_supervision.py
+++ b/test/test_supervision.py
@@ -12,9 +12,7 @@
 from test.virtual import LoopClock
 from test.virtual import VirtualLoop
 from unittest import mock
-
 import pytest
-
 from rowanport import supervision
 from rowanport.errors import StoreUnavailable
 from rowanport.store import Reachability
@@ -169,8 +167,8 @@
         "router_list": (gateway._membership._directory, "instances"),
         "views": (gateway._views, "_sources"),
         "budgets": (gateway.budgets._refill, "sync"),
-        "suspects": (gateway.crashes, "_settle"),
-        "blocklist": (gateway._blocklist, "_look"),
+        "suspects": (gateway.crashes, "_expire_and_clear"),
+        "blocklist": (gateway._blocklist, "_load_and_save"),
     }
 
 
