--- a/rowanport/gateway/views.py
+++ b/rowanport/gateway/views.py
@@ -8,7 +8,9 @@
 import collections
 import random
 import zlib
+
 import structlog
+
 from ..errors import MessageError
 from ..errors import PeerError
 from ..incarnation import address_of
--- a/test/test_supervision.py
+++ b/test/test_supervision.py
@@ -12,7 +12,9 @@
 from test.virtual import LoopClock
 from test.virtual import VirtualLoop
 from unittest import mock
+
 import pytest
+
 from rowanport import supervision
 from rowanport.errors import StoreUnavailable
 from rowanport.store import Reachability
